--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -281,7 +281,7 @@
     node = context.node = control_node.ControlNode()
     node.lead()
     node.is_muted = False
-    node.replica.accept(node.machine.replica.accepted, tables=node.machine.replica.whole())
+    node.replica.accept(node.machine.replica.accepted, tables=node.machine.replica.full_state())
     accept_newest(node)
 
 
@@ -385,7 +385,7 @@
     node = context.node
     # First, because the silence of c makes a version, too.
     node.run(4000)
-    node.replica.fold_pending()
+    node.replica.apply_pending()
     node.replica.committed = (0, 0)
     context.generation = node.machine.replica.accepted
     node.run(duration_ms)
--- a/features/steps/core_returns_steps.py
+++ b/features/steps/core_returns_steps.py
@@ -26,15 +26,15 @@
             members.clear()
             members.update(in_order)
 
-    def carry(self, source, address, frame, packs):
+    def carry(self, source, address, frame, may_compress):
         """As Rig.carry, once the sender's link is free and the frame has gone over it."""
         if 'full' in frame:
             self.whole_sent.append(address)
-        size = len(source.connections.encoded(frame, packs))
+        size = len(source.connections.encoded(frame, may_compress))
         seconds = size * BITS / (self.mbps[source.role] * 1e6)
         begin = max(self.now, self.free_at.get(source.address, durations.ZERO))
         self.free_at[source.address] = begin + durations.ms(1000 * seconds)
-        self.at(self.free_at[source.address], super().carry, source, address, frame, packs)
+        self.at(self.free_at[source.address], super().carry, source, address, frame, may_compress)
 
 
 @behave.given('{cores:d} control nodes and {nodes:d} proxies with {routes:d} routes, whose links carry {core_mbps:d} Mbit/s and {proxy_mbps:d} Mbit/s')  # fmt: skip
--- a/features/steps/data_folder_format_steps.py
+++ b/features/steps/data_folder_format_steps.py
@@ -137,7 +137,7 @@
 
 @behave.then('it has the settings, the key, the number and the lock, and is of format 2')
 def state_is_read_and_upgraded(context):
-    tables = context.machine.replica.whole()
+    tables = context.machine.replica.full_state()
     assert set(tables['conf']) >= {'pools/loans', 'rules/loans'} and tables['keys']['k']['value'] == 'v'
     assert tables['numbers']['n'] == 2 and tables['locks']['l']['holder'] == 'x'
     files = disk.Disk(context.folder).load()
--- a/features/steps/edge_disk_steps.py
+++ b/features/steps/edge_disk_steps.py
@@ -176,7 +176,7 @@
     voter = controller.Controller(LOCATION, settings.Settings(), random.Random(first_number), voter_disk.load())
     with mock.patch.object(os, 'fsync', lambda descriptor: None):
         voter_host = host_of(voter, voter_disk)
-        voter_host.peers.send = lambda address, frame, packs: None
+        voter_host.peers.send = lambda address, frame, may_compress: None
         voter_host.feed('start')
         if voter.is_empty():
             voter.formation.take_first_version('c' * 32, [voter.node])
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -44,15 +44,15 @@
     return [mock.patch.object(obj, name, new)]
 
 
-def repeatable(whole=open_pipeline.match_route):
+def repeatable(original=open_pipeline.match_route):
     """Whatever a rule says, a request may be sent again after it may have run."""
 
     def match(proxy, request):
-        got = whole(proxy, request)
+        got = original(proxy, request)
         request.at_most_once = False
         return got
 
-    return swap(whole, match)
+    return swap(original, match)
 
 
 def swap(old, new):
@@ -73,20 +73,20 @@
     return res.fault
 
 
-def not_run_at_all(self, request, refusal, whole=open_responses.OpenResponses.respond_refusal):
+def not_run_at_all(self, request, refusal, original=open_responses.OpenResponses.respond_refusal):
     """Promise with every refusal that the request has not run."""
-    whole(self, request, refusals.Refusal(503, str(refusal)))
+    original(self, request, refusals.Refusal(503, str(refusal)))
 
 
-def altered(self, request, whole=open_upstream.OpenUpstream.send):
+def altered(self, request, original=open_upstream.OpenUpstream.send):
     """Send a request under another id than its own."""
-    whole(self, request)
+    original(self, request)
     self.proxy.out[-1].headers['zt-id'] += 'x'
 
 
-def unnamed(self, request, whole=open_upstream.OpenUpstream.send):
+def unnamed(self, request, original=open_upstream.OpenUpstream.send):
     """Send a request without the incarnation that is meant."""
-    whole(self, request)
+    original(self, request)
     self.proxy.out[-1].headers.pop('zt-inc')
 
 
@@ -96,9 +96,9 @@
     return row is not None and not self.is_emptied(row['cell'])
 
 
-def any_version(txn, doc, whole=configuration_items.apply):
+def any_version(txn, doc, original=configuration_items.apply):
     """Apply a change of the items whatever its version."""
-    res = whole(txn, doc)
+    res = original(txn, doc)
     for key, version, row in configuration_items.to_changes(doc):
         txn.put('items', key, {'v': version, 'row': row})
     return res
@@ -114,42 +114,42 @@
     request.waiting_for = request_record.Waiting.ROOM
 
 
-def no_elections(own_election, whole=election.Election.plan):
+def no_elections(own_election, original=election.Election.plan):
     """Stand for no election, so that a lost leader is not replaced."""
     # Not at first, because the day has to begin.
     if own_election.voter.now < ms(9000):
-        whole(own_election)
+        original(own_election)
 
 
-def sooner(core, txn, args, whole=coordination.OPERATIONS['lock.hold'].function):
+def sooner(core, txn, args, original=coordination.OPERATIONS['lock.hold'].function):
     """Let the leader forget a lock at a quarter of its time."""
-    res = whole(core, txn, args)
+    res = original(core, txn, args)
     core.lock_expiry.deadlines[args['name']] = txn.now + ms(args['lease_ms'] / 4)
     return res
 
 
-def put_anew(core, txn, args, whole=coordination.OPERATIONS['cell.put'].function):
+def put_anew(core, txn, args, original=coordination.OPERATIONS['cell.put'].function):
     """Put a value anew before each put, so that its past is lost."""
     row = txn.get('values', args['name'])
     if row:
         txn.put('values', args['name'], dict(row, past=[], value=row['value'] + ' '))
-    return whole(core, txn, args)
+    return original(core, txn, args)
 
 
-def any_revision(core, txn, args, whole=coordination.OPERATIONS['cell.put'].function):
+def any_revision(core, txn, args, original=coordination.OPERATIONS['cell.put'].function):
     """Put whatever revision the caller expects."""
-    return whole(core, txn, {k: v for k, v in args.items() if k != 'rev'})
+    return original(core, txn, {k: v for k, v in args.items() if k != 'rev'})
 
 
-def skipping(core, txn, args, whole=coordination.OPERATIONS['cell.watch'].function):
+def skipping(core, txn, args, original=coordination.OPERATIONS['cell.watch'].function):
     """Leave out the first event of a watch."""
-    res = whole(core, txn, args)
+    res = original(core, txn, args)
     return dict(res, events=res['events'][1:])
 
 
-def forget_soon(txn, epoch, kept, whole=retention.drop_expired):
+def forget_soon(txn, epoch, kept, original=retention.drop_expired):
     """Keep the history of one epoch alone."""
-    whole(txn, epoch, 1)
+    original(txn, epoch, 1)
 
 
 def op(name, fn):
--- a/features/steps/open_leaving_steps.py
+++ b/features/steps/open_leaving_steps.py
@@ -21,7 +21,7 @@
 
 def drains(proxy):
     """Whether the server was told to take no more connections, for each time it was told to drain."""
-    return [effect.shut for effect in proxy.effects if isinstance(effect, effects.DrainOpenTraffic)]
+    return [effect.stops_listening for effect in proxy.effects if isinstance(effect, effects.DrainOpenTraffic)]
 
 
 @behave.then('it is not ready, and tells its connections to go elsewhere')
@@ -91,7 +91,7 @@
         return len(connections) == 3 and front.requests and idle_count == 1
 
     reactor_thread.wait_for(requests_are_read)
-    front.drain(shut=False)
+    front.drain(stops_listening=False)
 
 
 @behave.when('the request is answered')
@@ -108,7 +108,7 @@
 
 @behave.when('the front is shut')
 def front_is_shut(context):
-    context.front.drain(shut=True)
+    context.front.drain(stops_listening=True)
 
 
 @behave.then("the other client's connection is closed, and no new one is accepted")
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -33,7 +33,7 @@
 
 @behave.when('the change {text} is asked for')
 def change_is_requested(context, text: str):
-    context.before = context.store.replica.whole()
+    context.before = context.store.replica.full_state()
     context.result = context.store.change(text)
 
 
@@ -51,7 +51,7 @@
 def refusal_names_items(context, names: str):
     assert held_versions(context.result) == names, context.result
     if context.result['status'] != 200:
-        assert context.store.replica.whole() == context.before
+        assert context.store.replica.full_state() == context.before
 
 
 @behave.then('the changes {changes} are each acknowledged and change nothing')
@@ -65,11 +65,11 @@
 
 @behave.then('the changes {changes} are each refused with 409')
 def changes_are_refused(context, changes: str):
-    before = context.store.replica.whole()
+    before = context.store.replica.full_state()
     for text in changes.split(', '):
         result = context.store.change(text)
         assert result['status'] == 409, (text, result)
-    assert context.store.replica.whole() == before
+    assert context.store.replica.full_state() == before
 
 
 @behave.given('room for {most:d} digests')
--- a/features/steps/refusals_storage_steps.py
+++ b/features/steps/refusals_storage_steps.py
@@ -51,6 +51,6 @@
     files = {name: text for name, text in context.disk.files.items() if not name.endswith('.tmp')}
     loaded = storage.load(files).replica
     accepted = context.host.machine.replica
-    assert loaded.accepted == accepted.accepted and loaded.whole() == accepted.whole(), loaded.whole()
+    assert loaded.accepted == accepted.accepted and loaded.full_state() == accepted.full_state(), loaded.full_state()
     snapshots = [name for name in files if name.startswith(storage.SNAPSHOT_PREFIX)]
     assert max(map(storage.version_of, snapshots)) > FIRST_VERSION, sorted(files)
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -232,6 +232,6 @@
 
 @behave.then('once the time of a result has gone by, steps are carried out again')
 def steps_later(context):
-    context.leader.node.run(durations.to_ms(operations.RESULTS_KEPT) + BATCH_MS)
+    context.leader.node.run(durations.to_ms(operations.RESULT_RETENTION) + BATCH_MS)
     assert request_steps(context, ['k.later'])['k.later']['status'] == 200
     assert len(context.leader.node.machine.operation_service.results) == 1
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -73,7 +73,9 @@
 
 @behave.then('none of the frames for them may be packed')
 def frames_are_not_packed(context):
-    assert len(context.publications) == context.proxy_count + 1 and not any(send.packs for send in context.publications)
+    assert len(context.publications) == context.proxy_count + 1 and not any(
+        send.may_compress for send in context.publications
+    )
 
 
 @behave.given('the receiving end of a connection between two processes')
--- a/features/steps/snapshots_large_state_steps.py
+++ b/features/steps/snapshots_large_state_steps.py
@@ -88,15 +88,17 @@
 
 @behave.then('after {count:d} more changes none of those passed over is left')
 def files_passed_over_are_gone(context, count: int):
-    passed_over = set(context.voter.persistence.passed_over)
-    run_step(context, lambda voter: voter.persistence.write_identity(voter.persistence.passed_over, may_be_open=True))
+    superseded_files = set(context.voter.persistence.superseded_files)
+    run_step(
+        context, lambda voter: voter.persistence.write_identity(voter.persistence.superseded_files, may_be_open=True)
+    )
     for _ in range(count):
         run_step(
             context,
             lambda voter: voter_history.accept_rows(1, voter.replica.accepted[1] + 1)(voter),
         )
-    left = set(context.model.listdir(folder_model.FOLDER)) & passed_over
-    assert passed_over
+    left = set(context.model.listdir(folder_model.FOLDER)) & superseded_files
+    assert superseded_files
     assert not left, sorted(left)
 
 
--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -248,7 +248,7 @@
         self.machine = catch_up.Follower(location, settings.Settings(), random.Random(1))
         self.machine.feed('start', durations.ZERO)
         self.tables = scale_state.state_tables(sizes.Size(routes=1400, cores=3, dirs=0, nodes=0))
-        self.content = chunked_transfer.Content.whole((3, 40), self.tables)
+        self.content = chunked_transfer.Content.full_state((3, 40), self.tables)
         self.number = 0
         while self.content.chunk(self.number) is not None:
             self.number += 1
@@ -324,7 +324,7 @@
 @behave.when("the first come again after another state's")
 def pieces_of_other_state_come_between(context):
     receiver = context.receiver
-    other = chunked_transfer.Content.whole(
+    other = chunked_transfer.Content.full_state(
         (3, 39), scale_state.state_tables(sizes.Size(routes=400, cores=3, dirs=0, nodes=0))
     )
     receiver.send(0)
@@ -337,13 +337,13 @@
 def receiver_holds_state(context):
     machine = context.receiver.machine
     assert machine.replica.accepted == (3, 40), machine.replica.accepted
-    assert catch_up.canonical_text(machine.replica.whole()) == catch_up.canonical_text(context.receiver.tables)
+    assert catch_up.canonical_text(machine.replica.full_state()) == catch_up.canonical_text(context.receiver.tables)
 
 
 @behave.then('it holds nothing')
 def receiver_holds_nothing(context):
     assert context.receiver.machine.replica.accepted == (0, 0)
-    assert not context.receiver.machine.replica.whole()
+    assert not context.receiver.machine.replica.full_state()
 
 
 @behave.when('its power fails in the write of what came in pieces')
--- a/features/support/folder_sample.py
+++ b/features/support/folder_sample.py
@@ -90,7 +90,7 @@
         'term': loaded.term,
         'vote': loaded.vote,
         'accepted': list(loaded.replica.accepted),
-        'tables': loaded.replica.whole(),
+        'tables': loaded.replica.full_state(),
     }
 
 
--- a/features/support/item_store.py
+++ b/features/support/item_store.py
@@ -108,7 +108,7 @@
     def write_snapshot(self) -> None:
         """Write a snapshot in place of the versions."""
         version = self.replica.accepted
-        document = {'term': version[0], 'gen': version[1], 'tables': self.replica.whole()}
+        document = {'term': version[0], 'gen': version[1], 'tables': self.replica.full_state()}
         self.files = {name: text for name, text in self.files.items() if not name.startswith('gen-')}
         self.files[storage.snapshot_name(version)] = storage.encode(document)
 
@@ -119,7 +119,7 @@
 
     def transfer(self) -> None:
         """Send everything to a newcomer, which goes on in our place."""
-        tables = json.loads(json.dumps(self.replica.whole()))
+        tables = json.loads(json.dumps(self.replica.full_state()))
         newcomer = replica.Replica()
         newcomer.accept(self.replica.accepted, tables=tables)
         newcomer.commit(self.replica.accepted)
--- a/features/support/late_calls.py
+++ b/features/support/late_calls.py
@@ -25,7 +25,7 @@
     LOST_SHARE = 0.25
     MAX_DELAY = ms(9000)
 
-    def carry(self, src, addr, msg, packs=False):
+    def carry(self, src, addr, msg, may_compress=False):
         """As World.carry; a copy goes to whatever control node lives at an address by then."""
         if msg['t'] == 'ask_re' and self.rng.random() < self.LOST_SHARE:
             return
@@ -34,7 +34,7 @@
             for node in self.of('core'):
                 if node is not src and self.rng.random() < self.COPIED_SHARE:
                     self.after(self.MAX_DELAY * self.rng.random(), self.deliver_copy, node, text)
-        super().carry(src, addr, msg, packs)
+        super().carry(src, addr, msg, may_compress)
 
     def deliver_copy(self, node, text: str) -> None:
         """Give a node the late copy of a frame."""
--- a/features/support/open_traffic_front.py
+++ b/features/support/open_traffic_front.py
@@ -51,9 +51,9 @@
         """Give the server the operator's limits."""
         reactor_thread.call(lambda: self.server.limit(limits))
 
-    def drain(self, shut: bool) -> None:
+    def drain(self, stops_listening: bool) -> None:
         """Let the server leave; once shut, it takes no connections."""
-        reactor_thread.call(lambda: self.server.drain(shut))
+        reactor_thread.call(lambda: self.server.drain(stops_listening))
 
     def respond(self, index: int = -1) -> None:
         """Answer a request, by default the last that came."""
--- a/features/support/voter_history.py
+++ b/features/support/voter_history.py
@@ -36,13 +36,13 @@
 
 def memory_of(node: voter.Voter) -> VoterMemory:
     """What a running voter knows."""
-    return VoterMemory(node.term, node.vote, node.replica.accepted, node.replica.whole())
+    return VoterMemory(node.term, node.vote, node.replica.accepted, node.replica.full_state())
 
 
 def memory_in(files: dict[str, str]) -> VoterMemory:
     """What a voter that loads these files knows; raises errors.CorruptionError where it can't tell."""
     loaded = storage.load(files)
-    return VoterMemory(loaded.term, loaded.vote, loaded.replica.accepted, loaded.replica.whole())
+    return VoterMemory(loaded.term, loaded.vote, loaded.replica.accepted, loaded.replica.full_state())
 
 
 def new_voter(files: dict[str, str], bounds: settings.Settings | None = None) -> voter.Voter:
--- a/zinctrail/consensus/chunked_transfer.py
+++ b/zinctrail/consensus/chunked_transfer.py
@@ -56,7 +56,7 @@
         self._next_row = next(self._rows, None)
 
     @classmethod
-    def whole(cls, at: replica.Version, tables: replica.Tables) -> 'Content':
+    def full_state(cls, at: replica.Version, tables: replica.Tables) -> 'Content':
         """The content of a transfer of a whole state."""
         rows = (
             [table, key, value]
--- a/zinctrail/consensus/cluster_replacement.py
+++ b/zinctrail/consensus/cluster_replacement.py
@@ -179,4 +179,4 @@
         voter.election.abandon()
         voter.forget_cluster()
         # Only the state is forgotten: that nothing was voted for, which the term file says, stays true.
-        voter.persistence.forget_state()
+        voter.persistence.discard_state()
--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -152,10 +152,10 @@
             # Who has most, then who answered last: it wins at once and is the surest to be there.
             peer = max(prepared, key=lambda peer: (peer.accepted, peer.heard_at))
             voter.log(f'Names {peer.node} successor.', 'successor', term=voter.term, node=peer.node)
-            voter.send_message(peer.address, messages.Succeed(term=voter.term))
+            voter.send_message(peer.address, messages.TransferLeadership(term=voter.term))
         voter.set_timer('successor', RESEND)
 
-    def on_succeed(self, message: messages.Succeed):
+    def on_transfer_leadership(self, message: messages.TransferLeadership):
         """The leader stops and names us its successor, so that no pre-vote is needed."""
         voter = self.voter
         if message.term != voter.term or voter.mode != 'follower' or voter.disk_failed or voter.stopping:
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -181,7 +181,7 @@
             self._grant_leases(answered)
         self.leadership.fenced_reads.round_confirmed(number)
         # What waited while no quorum answered.
-        self.leadership.replication.pump()
+        self.leadership.replication.try_publish()
 
     def _grant_leases(self, answered):
         answered.granted = set() if answered.grants_leases else None
--- a/zinctrail/consensus/history.py
+++ b/zinctrail/consensus/history.py
@@ -35,7 +35,7 @@
         self.restart(NOTHING, NOTHING)
 
     @classmethod
-    def of_folder(cls, loaded: replica.Replica) -> 'History':
+    def from_folder(cls, loaded: replica.Replica) -> 'History':
         """The changes that a data folder still held beyond its snapshot; they are dropped from the replica."""
         history = cls()
         versions = loaded.loaded
--- a/zinctrail/consensus/leader_part.py
+++ b/zinctrail/consensus/leader_part.py
@@ -50,8 +50,8 @@
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
-    def send(self, address: str, frame: codec.Frame, packs: bool = False) -> None:
-        """Send a frame; `packs` says whether the receiver reads packed frames."""
+    def send(self, address: str, frame: codec.Frame, may_compress: bool = False) -> None:
+        """Send a frame; `may_compress` says whether the receiver reads packed frames."""
 
     def note_reads_chunks(self, message: codec.Message) -> None:
         """Note whether the sender reads transfers in chunks."""
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -208,7 +208,7 @@
     def timer_publish(self):
         """Changes that were gathered are due to be published."""
         if self.is_leader:
-            self.leadership.replication.pump()
+            self.leadership.replication.try_publish()
 
     def timer_publication(self):
         """The oldest publication found no quorum in time."""
--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -233,15 +233,15 @@
 
     # -- the calls themselves ---------------------------------------------
 
-    def serve_call(self, operation: str, arguments: Arguments, callback: Callback, patient: bool = False):
-        """Serve a call as leader. A `patient` caller waits for the next leader by itself."""
+    def serve_call(self, operation: str, arguments: Arguments, callback: Callback, waits_for_leader: bool = False):
+        """Serve a call as leader. A `waits_for_leader` caller waits for the next leader by itself."""
         self.call_number += 1
         number = self.call_number
-        if not patient:
+        if not waits_for_leader:
             self.open_calls[number] = OpenCall(operation, callback)
 
         def answered(result):
-            if patient:
+            if waits_for_leader:
                 callback(result)
             elif self.open_calls.pop(number, None):
                 callback(self._as_refused_to_callers(result))
--- a/zinctrail/consensus/member_updates.py
+++ b/zinctrail/consensus/member_updates.py
@@ -106,7 +106,7 @@
             # The member may have accepted any of these meanwhile: it takes the rows on that too, being whole values.
             message.between = between or None
         else:
-            message.tables = voter.replica.whole(routes=not everything)
+            message.tables = voter.replica.full_state(routes=not everything)
         return message
 
     def notify_commit(self, peer: peers.Peer):
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -28,7 +28,7 @@
     def add_elected_peers(self, votes: dict):
         """Begin with the members of the state that the leadership builds on; `votes` came from some of them."""
         voter = self.voter
-        for node, row in voter.replica.whole_of('members').items():
+        for node, row in voter.replica.full_table('members').items():
             if node == voter.node or row is None:
                 continue
             peer = self.leadership.peers[node] = peers.Peer.of_row(node, row, voter.now)
@@ -50,7 +50,7 @@
         """Follow a committed change of the table of members."""
         rows = self.voter.replica.get('members')
         # Newcomers of a version that is not committed yet are offered it already, and stay.
-        admitted = {n for n, row in self.voter.replica.whole_of('members').items() if row}
+        admitted = {n for n, row in self.voter.replica.full_table('members').items() if row}
         for node in [n for n in self.leadership.peers if n not in rows and n not in admitted]:
             # Absent since it was last heard, not since that was noticed.
             absent_since = self.leadership.peers.pop(node).heard_at
--- a/zinctrail/consensus/messages.py
+++ b/zinctrail/consensus/messages.py
@@ -240,7 +240,7 @@
 
 @codec.register('succeed')
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Succeed(codec.Message):
+class TransferLeadership(codec.Message):
     """A leader that stops asks a voter to stand for election at once."""
 
     term: int = codec.required('term', field_checks.is_count)
--- a/zinctrail/consensus/operations.py
+++ b/zinctrail/consensus/operations.py
@@ -33,7 +33,7 @@
     import zinctrail.consensus.leadership as leadership
 
 # How long a leader remembers a result, and how many; one that it has no room for is not begun.
-RESULTS_KEPT = durations.ms(10000)
+RESULT_RETENTION = durations.ms(10000)
 RESULTS_MOST = 1 << 16
 
 Arguments = dict[str, typing.Any]
@@ -143,7 +143,7 @@
         self.in_progress.add(message.key)
         peer = self.voter.peers.get(codec.sender_of(message).node)
         # Proxies and directories send what was refused to the next leader; callers of control nodes don't wait so long.
-        patient = peer is None or peer.role != member_roles.CONTROL_NODE
+        waits_for_leader = peer is None or peer.role != member_roles.CONTROL_NODE
 
         def answer(result):
             self.in_progress.discard(message.key)
@@ -151,7 +151,7 @@
                 self.remember_result(message.key, result)
             self.send_result(message, result)
 
-        self.voter.majority_contact.serve_call(message.operation, message.arguments, answer, patient)
+        self.voter.majority_contact.serve_call(message.operation, message.arguments, answer, waits_for_leader)
 
     def remember_result(self, key: str, result: results.OperationResult):
         """Keep a result, so that a copy of the request that is still on its way does not act a second time."""
@@ -160,7 +160,7 @@
 
     def forget_old_results(self):
         """Forget results that are so old that no copy of their request is on its way any more."""
-        oldest = self.voter.now - RESULTS_KEPT
+        oldest = self.voter.now - RESULT_RETENTION
         while self.results and next(iter(self.results.values())).given_at < oldest:
             self.results.popitem(last=False)
 
--- a/zinctrail/consensus/persistence.py
+++ b/zinctrail/consensus/persistence.py
@@ -58,14 +58,14 @@
         chain = [storage.version_name(version.version) for version in loaded.loaded]
         unread = {*storage.obsolete_files(files), *chain}
         # Files that a segment replaced, and that were not removed yet at the start.
-        self.passed_over = sorted(
+        self.superseded_files = sorted(
             name for name in files if name.startswith(storage.VERSION_PREFIX) and name not in unread
         )
         self.changes_since_snapshot = 0
         # The bytes of all versions that were written since the newest snapshot, and those before the open segment.
         self.version_bytes = self.closed_bytes = sum(len(files[name]) for name in chain)
         # The changes since the last segment that was closed.
-        self.segment = segment.Segment.of_folder(loaded)
+        self.segment = segment.Segment.from_folder(loaded)
 
     # -- identity, term and vote ------------------------------------------
 
@@ -76,8 +76,8 @@
         programs can't read. Over restarts that are more frequent than snapshots
         the obsolete files would pile up.
         """
-        obsolete = storage.obsolete_files(self.folder.files) + self.passed_over
-        self.write_identity(obsolete, may_be_open=bool(self.passed_over))
+        obsolete = storage.obsolete_files(self.folder.files) + self.superseded_files
+        self.write_identity(obsolete, may_be_open=bool(self.superseded_files))
 
     def write_identity(self, obsolete: typing.Iterable[str] = (), may_be_open: bool = False) -> None:
         """Write the file `node`, then forget the `obsolete` files."""
@@ -92,7 +92,7 @@
         """Write down that the voter's cluster was given up for another one."""
         self.folder.write('retired', {'for': successor})
 
-    def forget_state(self) -> None:
+    def discard_state(self) -> None:
         """Forget all versions and snapshots; the identity, the term and the vote in it stay."""
         self.write_identity(self.folder.state_files())
 
@@ -152,14 +152,14 @@
 
     # -- a disk that fails ------------------------------------------------
 
-    def note_fault(self, text: str) -> None:
+    def record_disk_error(self, text: str) -> None:
         """A write failed: the effects behind it were not carried out, and nothing more is promised."""
         if not self.disk_failed:
             self.voter.log(f'Disk can not be written: {text}. Does not vote or lead.', 'disk', fit=False, why=text)
         self.disk_failed = True
         self.snapshots.abandon()
 
-    def write_everything(self) -> None:
+    def rewrite_all(self) -> None:
         """Write everything again: any of the writes since the fault may be the one that is missing."""
         self.write_identity()
         self.write_term()
@@ -167,7 +167,7 @@
             self.write_snapshot()
         self.voter.out.append(effects.NotifyDurable('disk'))
 
-    def note_recovered(self) -> None:
+    def record_disk_recovery(self) -> None:
         """All writes since the fault are durable."""
         self.disk_failed = False
         self.voter.log('Disk can be written again.', 'disk', fit=True)
--- a/zinctrail/consensus/replica.py
+++ b/zinctrail/consensus/replica.py
@@ -67,7 +67,7 @@
         # The version that `tables` stands for.
         self.tables_version: Version = (0, 0)
         # Whether the next commit brings everything into force, since a whole state was accepted.
-        self.next_commit_is_whole = False
+        self.next_commit_is_full = False
         # What a folder held beyond its snapshot, the oldest first.
         self.loaded: list[LoadedVersion] = []
 
@@ -87,11 +87,11 @@
             return values[key]
         return self.tables.get(table, {}).get(key)
 
-    def whole_of(self, table: str) -> dict[str, typing.Any]:
+    def full_table(self, table: str) -> dict[str, typing.Any]:
         """A copy of one table with the uncommitted rows in force; removed keys may stand as None."""
         return {**self.tables.get(table, {}), **self.pending_values.get(table, {})}
 
-    def whole(self, routes: bool = False) -> Tables:
+    def full_state(self, routes: bool = False) -> Tables:
         """A copy of all tables, or of the `routes` only, with the uncommitted rows in force."""
         tables = {t: dict(rows) for t, rows in self.tables.items() if not routes or t in ROUTES}
         for _, rows in self.pending:
@@ -111,7 +111,7 @@
             self.tables = tables
             self.pending, self.pending_values = [], {}
             self.tables_version = at
-            self.next_commit_is_whole = True
+            self.next_commit_is_full = True
         else:
             rows = rows or []
             self.pending.append((at, rows))
@@ -123,7 +123,7 @@
         for table, key, val in rows:
             self.pending_values.setdefault(table, {})[key] = val
 
-    def fold_pending(self, at: Version | None = None) -> Rows:
+    def apply_pending(self, at: Version | None = None) -> Rows:
         """Fold what is pending, up to and with `at`, into the tables; returns its rows."""
         folded: Rows = []
         while self.pending and (at is None or self.tables_version != at):
@@ -142,10 +142,10 @@
         """
         if at <= self.committed or (at != self.tables_version and all(a != at for a, _ in self.pending)):
             return []
-        rows = self.fold_pending(at) if at != self.tables_version else []
+        rows = self.apply_pending(at) if at != self.tables_version else []
         self.committed = at
-        if self.next_commit_is_whole:
-            self.next_commit_is_whole = False
+        if self.next_commit_is_full:
+            self.next_commit_is_full = False
             return None
         return rows
 
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -13,7 +13,7 @@
 import zinctrail.consensus.transactions as transactions
 
 # How many state versions may be on their way to a quorum at once.
-IN_FLIGHT_MOST = 16
+MAX_IN_FLIGHT = 16
 # The line of waiting changes is refused further ones from so many times `queue_most` on.
 QUEUE_FACTOR = 4
 BUSY = {'status': 503, 'fault': 'busy', 'retry_ms': 200}
@@ -64,7 +64,7 @@
             callback(dict(BUSY))
         else:
             self.queue.append(transactions.Task(work, callback, for_caller))
-            self.pump()
+            self.try_publish()
 
     def read(self, work: typing.Callable, callback: typing.Callable):
         """Read what is in force; see `Leading.read`."""
@@ -108,7 +108,7 @@
 
     # -- publishing -------------------------------------------------------
 
-    def pump(self):
+    def try_publish(self):
         """Publish the next version with all changes that wait, as soon as one may follow the last."""
         if not self._may_publish():
             return
@@ -124,7 +124,7 @@
     def _may_publish(self):
         if not self.is_current or not self.queue or self.leadership.voting_configuration.waits_for_commits:
             return False
-        if len(self.in_flight) >= IN_FLIGHT_MOST:
+        if len(self.in_flight) >= MAX_IN_FLIGHT:
             return False
         # Nothing is published that could not be committed: its callers can then be refused for certain.
         if self.voter.majority_contact.is_round_overdue():
@@ -257,7 +257,7 @@
         if voting_configuration.waits_for_commits or any(publication.changes_routes for publication in done):
             voting_configuration.reconfigure()
         # Before the members are notified: what is published now tells of the commit, too.
-        self.pump()
+        self.try_publish()
         for peer in list(self.leadership.peers.values()):
             self.leadership.member_updates.notify_commit(peer)
 
--- a/zinctrail/consensus/segment.py
+++ b/zinctrail/consensus/segment.py
@@ -19,7 +19,7 @@
         self.rows: dict[tuple[str, str], object] = {}
 
     @classmethod
-    def of_folder(cls, loaded: replica.Replica) -> 'Segment':
+    def from_folder(cls, loaded: replica.Replica) -> 'Segment':
         """The segment that goes on with the newest versions which the data folder held."""
         segment = cls(loaded.accepted)
         newest: list[replica.LoadedVersion] = []
--- a/zinctrail/consensus/snapshot_writer.py
+++ b/zinctrail/consensus/snapshot_writer.py
@@ -79,7 +79,7 @@
         document: storage.SnapshotFile = {
             'term': version[0],
             'gen': version[1],
-            'tables': self.voter.replica.whole(),
+            'tables': self.voter.replica.full_state(),
         }
         self.newest_bytes = self.folder.write(name, document, obsolete)
 
@@ -122,7 +122,7 @@
     def begin_own(self) -> None:
         """Begin to write what is accepted now in chunks."""
         version = self.voter.replica.accepted
-        self._begin(version, chunked_transfer.Content.whole(version, self.voter.replica.whole()))
+        self._begin(version, chunked_transfer.Content.full_state(version, self.voter.replica.full_state()))
         self.voter.set_timer(TIMER, PAUSE)
 
     def write_next_chunk(self) -> None:
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -57,7 +57,7 @@
         if content is not None and content.at > has and self.voter.history.reaches(content.at, everything):
             return content
         version = self.leadership.member_updates.latest_for(peer)
-        content = chunked_transfer.Content.whole(version, self.voter.replica.whole(routes=not everything))
+        content = chunked_transfer.Content.full_state(version, self.voter.replica.full_state(routes=not everything))
         self.whole_states[everything] = content
         return content
 
--- a/zinctrail/consensus/storage.py
+++ b/zinctrail/consensus/storage.py
@@ -263,5 +263,5 @@
         loaded.loaded.append(replica.LoadedVersion(version, loaded.accepted, rows, routes_before))
         loaded.accept(version, rows=rows)
     # Folded into the tables, because nobody here knows any more which of the versions are committed.
-    loaded.fold_pending()
+    loaded.apply_pending()
     return loaded
--- a/zinctrail/consensus/transactions.py
+++ b/zinctrail/consensus/transactions.py
@@ -57,7 +57,7 @@
 
     def rows_before(self, table: str) -> dict[str, typing.Any]:
         """The rows of a table before this version; a copy."""
-        return self.replica.whole_of(table)
+        return self.replica.full_table(table)
 
     def put(self, table: str, key: str, val: typing.Any) -> None:
         """Write the value of a key."""
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -63,13 +63,13 @@
         self.vote = vote
         self.replica = loaded
         # Nothing is known to be in force until a leader says so.
-        loaded.next_commit_is_whole = True
+        loaded.next_commit_is_full = True
         # The files of the folder, the snapshots among them, and what decides when which is written.
         self.data_folder = data_folder.DataFolder(self, files)
         self.snapshots = snapshot_writer.SnapshotWriter(self, self.data_folder, files)
         self.persistence = persistence.Persistence(self, self.data_folder, self.snapshots, files)
         # The changes that led to the newest version, also those that another leader made.
-        self.history = history.History.of_folder(loaded)
+        self.history = history.History.from_folder(loaded)
         # Begins a recovered cluster, gives up a retired one.
         replaced_by = storage.decode('retired', files['retired'])['for'] if 'retired' in files else ''
         self.cluster_replacement = cluster_replacement.ClusterReplacement(self, replaced_by)
@@ -105,7 +105,7 @@
             self.log(f'Its cluster was given up for {replaced_by}: does nothing; clear the data folder.')
             return
         self.persistence.start()
-        for node, row in self.replica.whole().get('members', {}).items():
+        for node, row in self.replica.full_state().get('members', {}).items():
             self.note_node(row['addr'], node, row['role'])
         super().on_start()
 
@@ -119,7 +119,7 @@
 
     def on_disk_fault(self, text: str):
         """A write failed: vote and lead no more until the disk can be written again."""
-        self.persistence.note_fault(text)
+        self.persistence.record_disk_error(text)
         if self.is_leader:
             # A named successor needs no pre-vote, and nobody has to find out that we are gone.
             self.graceful_shutdown.name_successor()
@@ -129,11 +129,11 @@
 
     def timer_disk(self):
         """Try whether the disk can be written again."""
-        self.persistence.write_everything()
+        self.persistence.rewrite_all()
 
     def on_done(self, name: str):
         """All writes before were durable."""
-        self.persistence.note_recovered()
+        self.persistence.record_disk_recovery()
 
     def timer_snapshot(self):
         """Write the next chunk of our own snapshot."""
@@ -398,9 +398,9 @@
         """The successor that this leader named does not lead yet."""
         self.graceful_shutdown.name_successor()
 
-    def on_succeed(self, message: messages.Succeed):
+    def on_transfer_leadership(self, message: messages.TransferLeadership):
         """The leader stops, and names this node its successor."""
-        self.graceful_shutdown.on_succeed(message)
+        self.graceful_shutdown.on_transfer_leadership(message)
 
     # -- operations -------------------------------------------------------
 
--- a/zinctrail/consensus/voting_configuration.py
+++ b/zinctrail/consensus/voting_configuration.py
@@ -71,7 +71,7 @@
             wanted = self.wanted_voters(committed['accepted'])
             if wanted == committed['accepted']:
                 if waited:
-                    self.leadership.replication.pump()
+                    self.leadership.replication.try_publish()
                 return
             changed = {'committed': committed['accepted'], 'accepted': wanted}
         if self.pending_change == changed:
@@ -104,7 +104,7 @@
         return (
             peer.accepted is not None
             and peer.accepted[0] == self.voter.term
-            and self.voter.replica.accepted[1] - peer.accepted[1] <= 2 * replication.IN_FLIGHT_MOST
+            and self.voter.replica.accepted[1] - peer.accepted[1] <= 2 * replication.MAX_IN_FLIGHT
         )
 
     def note_caught_up(self, peer: peers.Peer):
--- a/zinctrail/control/lock_expiry.py
+++ b/zinctrail/control/lock_expiry.py
@@ -23,7 +23,7 @@
 
     def start(self) -> None:
         """This node leads now: each lock that is held gets its full lease."""
-        for name, row in self.controller.replica.whole_of(locks.TABLE).items():
+        for name, row in self.controller.replica.full_table(locks.TABLE).items():
             # The first versions of this leader may have acquired, renewed or released it already.
             if row is not None:
                 self.deadlines.setdefault(name, self.controller.now + self.time_kept(row['lease_ms']))
--- a/zinctrail/control/recovery.py
+++ b/zinctrail/control/recovery.py
@@ -91,7 +91,7 @@
         'recovered': state.latest('meta', 'recovered') or 0,
         'members': {node: row['http'] for node, row in state.get('members').items()},
     }
-    return {**summary, 'tables': state.whole()} if with_tables else summary
+    return {**summary, 'tables': state.full_state()} if with_tables else summary
 
 
 class RecoveryPlan:
--- a/zinctrail/fleet/wrapped_process.py
+++ b/zinctrail/fleet/wrapped_process.py
@@ -54,9 +54,9 @@
     connections: typing.Any = peer_connections.PeerConnections
     send, listen = connections.send, connections.listen
 
-    def send_unless_cut(self, addr: str, frame: dict, packs: bool = False) -> None:
+    def send_unless_cut(self, addr: str, frame: dict, may_compress: bool = False) -> None:
         if addr not in FAULTS['cut']:
-            send(self, addr, frame, packs)
+            send(self, addr, frame, may_compress)
 
     def listen_unless_cut(self, addr: str) -> typing.Any:
         receive = self.on_frame
--- a/zinctrail/model/node_states.py
+++ b/zinctrail/model/node_states.py
@@ -268,7 +268,7 @@
     def view(self, machine: state_machine.StateMachine) -> View:
         """What the invariants look at of a machine."""
         status, replica = machine.status(), machine.replica
-        accepted_tables = replica.whole()
+        accepted_tables = replica.full_state()
         is_settled = tuple(replica.tables_version) == tuple(replica.committed)
         committed_tables = replica.tables if is_settled else {}
         return View(
--- a/zinctrail/proxy/shutdown.py
+++ b/zinctrail/proxy/shutdown.py
@@ -50,7 +50,7 @@
         if self.proxy.location.front and not self.refuses_open_traffic:
             # New requests are refused first: while they are accepted the table may never be empty.
             self.refuses_open_traffic = True
-            self.proxy.out.append(effects.DrainOpenTraffic(shut=True))
+            self.proxy.out.append(effects.DrainOpenTraffic(stops_listening=True))
         if self.proxy.runner.requests and self.proxy.now < self.finish_by:
             self.proxy.set_timer('drain', DRAIN_CHECK)
             return
--- a/zinctrail/runtime/effects.py
+++ b/zinctrail/runtime/effects.py
@@ -21,7 +21,7 @@
     address: str
     frame: dict
     # Whether the receiver reads packed frames.
-    packs: bool = False
+    may_compress: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -135,9 +135,9 @@
 
 @dataclasses.dataclass(slots=True)
 class DrainOpenTraffic:
-    """Close each connection of open traffic after its next response; with `shut`, accept none any more."""
+    """Close each connection of open traffic after its next response; with `stops_listening`, accept none any more."""
 
-    shut: bool = False
+    stops_listening: bool = False
 
 
 @dataclasses.dataclass(slots=True)
--- a/zinctrail/runtime/state_machine.py
+++ b/zinctrail/runtime/state_machine.py
@@ -52,9 +52,9 @@
         """Set a timer, or move it if it is set already."""
         self.timers[name] = self.now + delay
 
-    def send(self, address: str, frame: dict, packs: bool = False):
-        """Send a frame to another process; `packs` says whether that one reads packed frames."""
-        self.out.append(effects.Send(address, frame, packs))
+    def send(self, address: str, frame: dict, may_compress: bool = False):
+        """Send a frame to another process; `may_compress` says whether that one reads packed frames."""
+        self.out.append(effects.Send(address, frame, may_compress))
 
     def log(self, text: str, event: str = '', **fields):
         """Log a sentence; `event` names the kind of event, `fields` are what one would search for."""
--- a/zinctrail/simulation/benchmarks/virtual.py
+++ b/zinctrail/simulation/benchmarks/virtual.py
@@ -86,7 +86,7 @@
 
     for name, change in (('one label', add_label), ('evacuation', evacuate), ('4000 labels', add_many_labels)):
         found[name] = published_bytes(deployment, change)
-    found['whole routes'] = len(json.dumps(world.leader().machine.replica.whole(routes=True)))
+    found['whole routes'] = len(json.dumps(world.leader().machine.replica.full_state(routes=True)))
     return found
 
 
--- a/zinctrail/simulation/catch_up.py
+++ b/zinctrail/simulation/catch_up.py
@@ -266,7 +266,9 @@
 
     def has_leaders_state(self, node: Node) -> bool:
         """Whether a process holds exactly the rows of the leader."""
-        return canonical_text(node.machine.replica.whole()) == canonical_text(self.leader().machine.replica.whole())
+        return canonical_text(node.machine.replica.full_state()) == canonical_text(
+            self.leader().machine.replica.full_state()
+        )
 
     def was_dropped(self, node: Node, since: datetime.timedelta) -> int:
         """How often a log says that a process is no member any more."""
@@ -304,7 +306,7 @@
     rss_mb: float
 
 
-def measure(size: sizes.Size, mbit: float, missed: int, limit_s: int, packs: bool = True) -> dict:
+def measure(size: sizes.Size, mbit: float, missed: int, limit_s: int, may_compress: bool = True) -> dict:
     """What it took one voter to catch up.
 
     :param mbit: the rate of its link, in Mbit/s.
@@ -312,7 +314,7 @@
     :param packs: whether bytes on the link are counted after compression.
     """
     rig = CatchUp(size)
-    rig.world.compresses = packs
+    rig.world.compresses = may_compress
     assert rig.start(), 'nobody leads'
     node = rig.last_follower()
     snapshot_s = 0.0
--- a/zinctrail/simulation/disk.py
+++ b/zinctrail/simulation/disk.py
@@ -39,8 +39,8 @@
         if isinstance(effect, effects.WriteChunk):
             self.write_chunk(effect.name, effect.text, effect.first)
         elif isinstance(effect, effects.CommitChunks):
-            whole = effect.head + ''.join(self.chunks.pop(effect.name))[len(effect.head) :]
-            self.write(effect.name, whole, effect.obsolete_files)
+            content = effect.head + ''.join(self.chunks.pop(effect.name))[len(effect.head) :]
+            self.write(effect.name, content, effect.obsolete_files)
         else:
             self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_open)
 
--- a/zinctrail/simulation/fingerprints.py
+++ b/zinctrail/simulation/fingerprints.py
@@ -32,7 +32,7 @@
 def text_of(effect) -> str | None:
     """What one effect carries, as text; None where it leaves nothing outside the process."""
     if isinstance(effect, effects.Send):
-        return json.dumps(['send', effect.address, effect.frame, effect.packs])
+        return json.dumps(['send', effect.address, effect.frame, effect.may_compress])
     if isinstance(effect, effects.Write):
         return json.dumps(['write', effect.name, effect.text, effect.obsolete_files, effect.may_be_open])
     if isinstance(effect, effects.WriteChunk):
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -138,19 +138,19 @@
 
     # -- frames between processes ----------------------------------------------
 
-    def sent_at(self, source: str, target: str, kind: str, text: str, packs: bool) -> datetime.timedelta:
+    def sent_at(self, source: str, target: str, kind: str, text: str, may_compress: bool) -> datetime.timedelta:
         """When a frame has left its sender, over a link of bounded bandwidth."""
         bandwidth = self.bandwidths.get((source, target))
         if bandwidth is None:
             return self.now
-        is_compressed = packs and self.compresses and len(text) > peer_connections.PACK_FROM
+        is_compressed = may_compress and self.compresses and len(text) > peer_connections.PACK_FROM
         size = len(zlib.compress(text.encode(), 1)) if is_compressed else len(text)
         self.link_bytes[kind] = self.link_bytes.get(kind, 0) + size
         begin = max(self.now, self.link_free_at.get((source, target), durations.ZERO))
         self.link_free_at[source, target] = begin + datetime.timedelta(seconds=size / bandwidth)
         return self.link_free_at[source, target]
 
-    def carry(self, source: 'simulated_node.Node', address: str, message: dict, packs: bool = False) -> None:
+    def carry(self, source: 'simulated_node.Node', address: str, message: dict, may_compress: bool = False) -> None:
         """Carry a frame between two processes; the order on a link is kept, as TCP does."""
         text = json.dumps(message)
         kind = message['t']
@@ -170,7 +170,7 @@
         link = (source.name, target.name)
         copies = 2 if self.rng.random() < self.duplication else 1
         for _ in range(copies):
-            sent_at = self.sent_at(*link, kind, text, packs)
+            sent_at = self.sent_at(*link, kind, text, may_compress)
             when = max(sent_at + self.delay(*link), self.last_arrivals.get(link, durations.ZERO))
             self.last_arrivals[link] = when
             self.at(when, self.deliver, source, target, target.incarnation, text)
--- a/zinctrail/simulation/node.py
+++ b/zinctrail/simulation/node.py
@@ -235,7 +235,7 @@
 
     def do_send(self, effect: effects.Send) -> None:
         """Send a frame."""
-        self.world.carry(self, effect.address, effect.frame, effect.packs)
+        self.world.carry(self, effect.address, effect.frame, effect.may_compress)
 
     def do_response(self, effect: effects.HttpResponse) -> None:
         """Answer an HTTP request, unless its caller has gone."""
@@ -274,7 +274,7 @@
 
     def do_leave(self, effect: effects.DrainOpenTraffic) -> None:
         """Refuse new connections of open traffic, if the proxy shuts its address."""
-        self.refuses_connections = self.refuses_connections or effect.shut
+        self.refuses_connections = self.refuses_connections or effect.stops_listening
 
     def do_exit(self, effect: effects.Exit) -> None:
         """End, as the process has decided itself."""
--- a/zinctrail/simulation/scale/point.py
+++ b/zinctrail/simulation/scale/point.py
@@ -72,7 +72,7 @@
     tables = leader.machine.replica.tables
     point: Point = {
         'state': {
-            'core': rows_and_bytes(leader.machine.replica.whole()),
+            'core': rows_and_bytes(leader.machine.replica.full_state()),
             'routes': rows_and_bytes(routing_tables(proxy.machine.replica.tables)),
         },
         'tables': {name: rows_and_bytes({name: rows}) for name, rows in tables.items() if rows},
@@ -117,7 +117,7 @@
     message = messages.Publish(
         term=machine.term,
         version=machine.replica.accepted,
-        tables=machine.replica.whole(routes=True),
+        tables=machine.replica.full_state(routes=True),
         http=machine.location.http,
     )
     data = leader.connections.encoded(machine.frame(message), True)
--- a/zinctrail/simulation/scale/process.py
+++ b/zinctrail/simulation/scale/process.py
@@ -85,7 +85,7 @@
 
     def do_send(self, effect: effects.Send) -> None:
         """Have a frame carried."""
-        self.rig.carry(self, effect.address, effect.frame, effect.packs)
+        self.rig.carry(self, effect.address, effect.frame, effect.may_compress)
 
     def do_response(self, effect: effects.HttpResponse) -> None:
         """Keep a response for its caller."""
--- a/zinctrail/simulation/scale/rig.py
+++ b/zinctrail/simulation/scale/rig.py
@@ -89,9 +89,9 @@
             way_ms = BETWEEN_REGIONS_MS
         return ms(way_ms * (1 + JITTER * self.rng.random()))
 
-    def carry(self, source: scale_process.Process, address: str, frame: dict, packs: bool) -> None:
+    def carry(self, source: scale_process.Process, address: str, frame: dict, may_compress: bool) -> None:
         """Carry a frame to an address, in the order of sending; its sender learns where nobody listens."""
-        data = source.connections.encoded(frame, packs)
+        data = source.connections.encoded(frame, may_compress)
         size = netstring_bytes(data)
         source.counts['out'] += 1
         source.counts['out_bytes'] += size
--- a/zinctrail/transport/host.py
+++ b/zinctrail/transport/host.py
@@ -343,7 +343,7 @@
     def leave(self, effect: effects.DrainOpenTraffic) -> None:
         """Let the clients of open traffic go elsewhere."""
         if self.open_server:
-            self.open_server.drain(effect.shut)
+            self.open_server.drain(effect.stops_listening)
 
     def exit(self, effect: effects.Exit | None, checks_left: int = EXIT_CHECKS) -> None:
         """Stop the loop, once the connections of open traffic are closed or have had their time."""
@@ -367,7 +367,7 @@
 
 # How each effect is carried out; those of `effects.DISK_EFFECTS` go to the disk.
 RUNS: dict[type, typing.Callable[[Host, typing.Any], None]] = {
-    effects.Send: lambda host, effect: host.peers.send(effect.address, effect.frame, effect.packs),
+    effects.Send: lambda host, effect: host.peers.send(effect.address, effect.frame, effect.may_compress),
     effects.HttpResponse: Host.respond,
     effects.HttpFetch: Host.fetch,
     effects.CancelFetch: Host.cancel_fetch,
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -270,24 +270,24 @@
         host, port = split_address(addr)
         return self.reactor.listenTCP(port, InboundFactory(self), interface=host)
 
-    def encoded(self, frame: dict, packs: bool) -> bytes:
+    def encoded(self, frame: dict, may_compress: bool) -> bytes:
         """The bytes of a frame, kept for a while because a publication goes to many peers."""
         recent = self.recent_chunks if frame.get('t') == CHUNK_KIND else self.recent_frames
         for kept, packed, data in recent:
-            if kept is frame and packed == packs:
+            if kept is frame and packed == may_compress:
                 return data
         data = json.dumps(frame, separators=(',', ':')).encode()
-        if packs and PACK_FROM < len(data) <= self.max_frame_bytes:
+        if may_compress and PACK_FROM < len(data) <= self.max_frame_bytes:
             data = zlib.compress(data, COMPRESSION_LEVEL)
-        recent.append((frame, packs, data))
+        recent.append((frame, may_compress, data))
         return data
 
-    def send(self, addr: str, frame: dict, packs: bool = False) -> None:
+    def send(self, addr: str, frame: dict, may_compress: bool = False) -> None:
         """Send a frame to a peer, over a new connection where none is open.
 
         A frame above the limit is logged as an error, because it must not vanish silently.
         """
-        data = self.encoded(frame, packs)
+        data = self.encoded(frame, may_compress)
         if len(data) > self.max_frame_bytes:
             logging.error(
                 'peers: frame %s of %d bytes is above the limit of %d, not sent.',
