--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -209,9 +209,9 @@
 
 @behave.given('a control node that leads, with room for {count:d} results')
 def little_room(context, count: int):
-    context.add_cleanup(setattr, operations, 'RESULTS_MOST', operations.RESULTS_MOST)
+    context.add_cleanup(setattr, operations, 'MAX_RESULTS', operations.MAX_RESULTS)
     context.leader = operation_cases.OperationLeader()
-    operations.RESULTS_MOST = count
+    operations.MAX_RESULTS = count
 
 
 @behave.when('b requests {count:d} steps of a number at once')
--- a/zinctrail/consensus/__init__.py
+++ b/zinctrail/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Membership, elections, replication, leases and snapshots; nothing of load balancing."""
+"""The consensus layer: membership, elections, replication, leases and snapshots; independent of load balancing."""
--- a/zinctrail/consensus/codec.py
+++ b/zinctrail/consensus/codec.py
@@ -1,8 +1,9 @@
-"""How a message is declared, and turned into the frame that is sent and back.
+"""Declares messages, and converts them to frames and back.
 
 A frame is a JSON object. Its first keys are the fields of the message, in the
-order of their declaration; the last ones say who sent it: ``t`` the kind, ``v``
-the sender's wire level, ``c`` its cluster, ``f`` its node id, ``a`` its address.
+order of their declaration. The last keys are the same in every frame: ``t`` is
+the kind of message; the others describe the sender: ``v`` its wire level, ``c``
+its cluster, ``f`` its node id, ``a`` its address.
 """
 
 import dataclasses
@@ -23,14 +24,14 @@
 
     wire_name: str
     check: field_checks.Check
-    # Turns a value that passed the check into the message's own type; None keeps it as it is.
+    # Converts a value that passed the check to the type of the attribute; None leaves the value unchanged.
     convert: typing.Callable | None
     is_required: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Sender:
-    """Who sent a frame: its node id, its address, the cluster it belongs to and the wire level it writes."""
+    """The sender of a frame: its node id, its address, its cluster and the wire level that it writes."""
 
     node: str
     address: str
@@ -39,7 +40,7 @@
 
 
 def required(wire_name: str, check: field_checks.Check, convert: typing.Callable | None = None) -> typing.Any:
-    """A field that each frame of its kind holds; it is sent also where it is None."""
+    """Declare a field that every frame of its kind contains; it is sent even if its value is None."""
     return dataclasses.field(metadata={METADATA: WireField(wire_name, check, convert, True)})
 
 
@@ -49,50 +50,51 @@
     convert: typing.Callable | None = None,
     default: typing.Any = None,
 ) -> typing.Any:
-    """A field that a frame may lack, which then reads as `default`; a None is not sent."""
+    """Declare a field that may be missing from a frame; it then has the value `default`. None is not sent."""
     return dataclasses.field(default=default, metadata={METADATA: WireField(wire_name, check, convert, False)})
 
 
 def required_version(wire_name: str) -> typing.Any:
-    """A required (term, generation) pair."""
+    """Declare a required (term, generation) pair."""
     return required(wire_name, field_checks.is_version, tuple)
 
 
 def optional_version(wire_name: str) -> typing.Any:
-    """A (term, generation) pair that may be missing."""
+    """Declare an optional (term, generation) pair."""
     return optional(wire_name, field_checks.is_version, tuple)
 
 
 def version_or_none(value: list[int] | None) -> Version | None:
-    """A version as it was received, or None for null."""
+    """Convert a received version to a tuple; null becomes None."""
     return None if value is None else (value[0], value[1])
 
 
 def versions(value: list[list[int]]) -> list[Version]:
-    """A list of versions as it was received."""
+    """Convert a received list of versions to a list of tuples."""
     return [(term, generation) for term, generation in value]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Message:
-    """Base of every message; `sender` is set in received ones only."""
+    """Base class of all messages; `sender` is set only in received ones."""
 
+    # The kind of frame, as `register` sets it.
     kind: typing.ClassVar[str] = ''
-    # The method of a machine that takes such a message.
+    # The name of the state machine's method that handles this type of message.
     handler: typing.ClassVar[str] = ''
-    # (attribute, wire name, check, convert, whether it is required), in the order of the frame's keys.
+    # (attribute, wire name, check, convert, is_required) of each field, in the order of the frame's keys.
     layout: typing.ClassVar[tuple] = ()
 
     sender: Sender | None = None
 
     def contradiction(self) -> str:
-        """What makes fields that are right one by one unusable together; '' if nothing does."""
+        """Describe why fields that are valid one by one are invalid together; '' if they are consistent."""
         return ''
 
 
 def sender_of(message: Message) -> Sender:
-    """Who sent a message that was received."""
-    # Only messages that are yet to be sent have none.
+    """Return the sender of a received message."""
+    # Only messages that have not been sent yet lack a sender.
     assert message.sender is not None
     return message.sender
 
@@ -102,11 +104,11 @@
 
 
 def register(kind: str) -> typing.Callable[[type[Message]], type[Message]]:
-    """Class decorator: frames of `kind` are read as this type and handed to its handler, ``on_`` + its name."""
+    """Return a class decorator: frames of `kind` are decoded to the class, and handled by ``on_`` + its name."""
 
     def add(message_type: type[Message]) -> type[Message]:
         if kind in MESSAGES:
-            raise ValueError(f'kind {kind} is declared twice')
+            raise ValueError(f'frame kind {kind!r} is registered twice')
         message_type.kind = kind
         message_type.handler = 'on' + re.sub('([A-Z])', lambda match: '_' + match[0].lower(), message_type.__name__)
         message_type.layout = tuple(
@@ -121,24 +123,24 @@
 
 
 def decode(frame: Frame) -> Message:
-    """Read a frame.
+    """Decode a frame to its message.
 
-    Raises errors.FrameError where its kind is unknown, its sender is not told,
-    or a field is missing or not what its kind declares.
+    Raises errors.FrameError if the kind is unknown, the sender is missing, or a
+    field is missing or fails its check.
     """
     kind: typing.Any = frame.get('t')
     message_type = MESSAGES.get(kind) if isinstance(kind, str) else None
     if message_type is None:
-        raise errors.FrameError(f'no known kind {kind!r:.40}')
+        raise errors.FrameError(f'unknown frame kind {kind!r:.40}')
     values = {'sender': decode_sender(kind, frame)}
     for name, wire_name, check, convert, is_required in message_type.layout:
         if wire_name in frame:
             value = frame[wire_name]
             if not check(value):
-                raise errors.FrameError(f'{kind}: {wire_name} is missing or wrong', kind, wire_name)
+                raise errors.FrameError(f'{kind}: field {wire_name!r} is invalid', kind, wire_name)
             values[name] = value if convert is None else convert(value)
         elif is_required:
-            raise errors.FrameError(f'{kind}: {wire_name} is missing or wrong', kind, wire_name)
+            raise errors.FrameError(f'{kind}: field {wire_name!r} is missing', kind, wire_name)
     message = message_type(**values)
     contradiction = message.contradiction()
     if contradiction:
@@ -147,7 +149,7 @@
 
 
 def decode_sender(kind: str, frame: Frame) -> Sender:
-    """Read who sent a frame; raises errors.FrameError where it does not say so."""
+    """Decode the sender of a frame; raises errors.FrameError if a field of it is missing or invalid."""
     node: typing.Any = frame.get('f')
     address: typing.Any = frame.get('a')
     cluster: typing.Any = frame.get('c', '')
@@ -158,12 +160,12 @@
         or not isinstance(cluster, str)
         or not field_checks.is_integer(level)
     ):
-        raise errors.FrameError('no usable sender', kind)
+        raise errors.FrameError(f'{kind}: a field of the sender is missing or invalid', kind)
     return Sender(node, address, cluster, level)
 
 
 def encode(message: Message, sender: Sender) -> Frame:
-    """The frame of a message."""
+    """Encode a message from `sender` as a frame."""
     frame = {}
     for name, wire_name, _, _, is_required in message.layout:
         value = getattr(message, name)
--- a/zinctrail/consensus/data_folder.py
+++ b/zinctrail/consensus/data_folder.py
@@ -1,4 +1,4 @@
-"""The data folder as its voter knows it: which files it holds, and the effects that write and remove them."""
+"""The voter's view of its data folder: the names of its files, and the effects that write and remove them."""
 
 import typing
 
@@ -7,14 +7,14 @@
 
 
 class FolderOwner(typing.Protocol):
-    """What a data folder needs of the voter that it belongs to."""
+    """The interface that DataFolder needs of its voter."""
 
-    # The effects of the present input.
+    # The effects of the input that is being handled.
     out: list
 
 
 class DataFolder:
-    """Writes files by effects, and remembers which ones the folder holds.
+    """Writes files by effects, and tracks which files the folder holds.
 
     :param files: the folder as it was found, {name: text}.
     """
@@ -26,9 +26,9 @@
     def write(
         self, name: str, document: typing.Any, obsolete: typing.Iterable[str] = (), may_be_open: bool = False
     ) -> int:
-        """Bring a file durably to disk, then forget the `obsolete` ones; returns the length of its text.
+        """Write a file durably, then remove the `obsolete` ones; returns the length of its text.
 
-        With `may_be_open` the obsolete files may still be read, and are removed but not written over.
+        With `may_be_open` a reader may have the obsolete files open, so they are removed but not overwritten.
         """
         obsolete = tuple(obsolete)
         text = storage.encode(document)
@@ -37,16 +37,16 @@
         return len(text)
 
     def write_chunk(self, name: str, text: str, first: bool = False) -> None:
-        """Add text to a file that is written in chunks; with `first`, begin it."""
+        """Append text to a file that is written in chunks; with `first`, begin the file."""
         self.voter.out.append(effects.WriteChunk(name, text, first))
 
     def commit_chunks(self, name: str, head: str, obsolete: tuple[str, ...]) -> None:
-        """Complete a file that was written in chunks by its first bytes, then forget the `obsolete` ones."""
+        """Complete a file that was written in chunks by writing its first bytes, then remove the `obsolete` files."""
         self._note(name, obsolete)
         self.voter.out.append(effects.CommitChunks(name, head, obsolete))
 
     def state_files(self) -> list[str]:
-        """The names of all snapshots and versions, sorted."""
+        """Return the names of all snapshots and version files, sorted."""
         return sorted(name for name in self.files if name.startswith(storage.STATE_PREFIXES))
 
     def _note(self, name: str, obsolete: tuple[str, ...]) -> None:
--- a/zinctrail/consensus/field_checks.py
+++ b/zinctrail/consensus/field_checks.py
@@ -1,7 +1,8 @@
-"""Predicates over the JSON values of a received frame's fields, before any of them is used.
+"""Predicates that validate the fields of a received frame before any of them is used.
 
-A check takes a value as ``json.loads`` returned it and says whether it may be
-used. The functions that end in ``_of`` build checks out of checks.
+A check takes a value as ``json.loads`` returned it and returns whether it is
+valid. The functions that end in ``_of``, and `null_or`, build checks from other
+checks.
 """
 
 import typing
@@ -12,13 +13,13 @@
 
 is_address = parsing.is_address
 
-# A weight of load above this is not a measurement.
-RATIO_MOST = 1e6
+# The greatest plausible load ratio; no measurement yields a larger one.
+MAX_RATIO = 1e6
 # Counters of an endpoint's failures fit in 31 bits.
 COUNTER_LIMIT = 1 << 31
 
 
-def is_text(value: typing.Any) -> bool:
+def is_string(value: typing.Any) -> bool:
     """Whether `value` is a string."""
     return isinstance(value, str)
 
@@ -33,7 +34,7 @@
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
-def is_flag(value: typing.Any) -> bool:
+def is_boolean(value: typing.Any) -> bool:
     """Whether `value` is true or false."""
     return isinstance(value, bool)
 
@@ -44,38 +45,38 @@
 
 
 def is_anything(value: typing.Any) -> bool:
-    """Accept every value: whoever uses it checks it."""
+    """Accept every value; the code that uses the value has to check it."""
     return True
 
 
 def is_ratio(value: typing.Any) -> bool:
-    """Whether `value` is a number that is not negative and not absurdly large."""
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= RATIO_MOST
+    """Whether `value` is a number from 0 to MAX_RATIO."""
+    return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= MAX_RATIO
 
 
 def is_row(value: typing.Any) -> bool:
     """Whether `value` is a row of the replicated state: [table, key, value]."""
-    return isinstance(value, (list, tuple)) and len(value) == 3 and is_text(value[0]) and is_text(value[1])
+    return isinstance(value, (list, tuple)) and len(value) == 3 and is_string(value[0]) and is_string(value[1])
 
 
 def is_known_member(value: typing.Any) -> bool:
-    """Whether `value` is [address, id, answers]: a control node as a probed node knows it."""
+    """Whether `value` is [address, id, has responded recently]: a control node that a probed node knows."""
     return (
         isinstance(value, (list, tuple))
         and len(value) == 3
         and is_address(value[0])
-        and is_text(value[1])
-        and is_flag(value[2])
+        and is_string(value[1])
+        and is_boolean(value[2])
     )
 
 
 def is_held_credit(value: typing.Any) -> bool:
-    """Whether `value` is [credit held, credit in use], each by incarnation."""
-    return isinstance(value, (list, tuple)) and len(value) == 2 and all(is_counts(counts) for counts in value)
+    """Whether `value` is [credit held, credit in use], each {incarnation: count}."""
+    return isinstance(value, (list, tuple)) and len(value) == 2 and all(is_count_map(counts) for counts in value)
 
 
 def is_failure_counts(value: typing.Any) -> bool:
-    """Whether `value` is a pair of counters that fit in 31 bits."""
+    """Whether `value` is a pair of failure counters, each below COUNTER_LIMIT."""
     return (
         isinstance(value, (list, tuple))
         and len(value) == 2
@@ -89,30 +90,33 @@
         isinstance(value, (list, tuple))
         and len(value) == 3
         and is_integer(value[0])
-        and is_texts_by_name(value[1])
-        and is_text(value[2])
+        and is_string_map(value[1])
+        and is_string(value[2])
     )
 
 
-def table_of(check: Check) -> Check:
-    """A check for objects all of whose values pass `check`."""
+def map_of(check: Check) -> Check:
+    """Return a check for objects whose values all pass `check`."""
     return lambda value: (
         isinstance(value, dict) and all(isinstance(key, str) and check(entry) for key, entry in value.items())
     )
 
 
 def list_of(check: Check) -> Check:
-    """A check for lists all of whose entries pass `check`."""
+    """Return a check for lists whose items all pass `check`."""
     return lambda value: isinstance(value, (list, tuple)) and all(check(entry) for entry in value)
 
 
 def null_or(check: Check) -> Check:
-    """A check for null, or what passes `check`."""
+    """Return a check for null and for values that pass `check`."""
     return lambda value: value is None or check(value)
 
 
 def object_of(required: dict[str, Check], optional: dict[str, Check] | None = None) -> Check:
-    """A check for objects with the `required` fields; others may be there, the `optional` ones checked."""
+    """Return a check for objects with all `required` fields; `optional` fields are checked if present.
+
+    Further fields are allowed, and not checked.
+    """
 
     def check_object(value: typing.Any) -> bool:
         return (
@@ -124,13 +128,13 @@
     return check_object
 
 
-is_counts = table_of(is_count)
-is_texts_by_name = table_of(is_text)
-is_object = table_of(is_anything)
-is_tables = table_of(is_object)
+is_count_map = map_of(is_count)
+is_string_map = map_of(is_string)
+is_object = map_of(is_anything)
+is_tables = map_of(is_object)
 is_member = object_of(
-    {'role': is_text, 'addr': is_address, 'http': is_text, 'cell': is_text, 'level': is_integer},
-    {'front': is_text},
+    {'role': is_string, 'addr': is_address, 'http': is_string, 'cell': is_string, 'level': is_integer},
+    {'front': is_string},
 )
-is_leader = object_of({'id': is_text, 'addr': is_address, 'http': is_text})
+is_leader = object_of({'id': is_string, 'addr': is_address, 'http': is_string})
 is_result = object_of({'status': is_integer})
--- a/zinctrail/consensus/operation_requests.py
+++ b/zinctrail/consensus/operation_requests.py
@@ -1,4 +1,4 @@
-"""Operations that this node requests of the leader, sent again until their result comes."""
+"""The client's side of operations: this node's requests to the leader, retried until their results arrive."""
 
 import dataclasses
 import datetime
@@ -8,11 +8,11 @@
 import zinctrail.consensus.results as results
 import zinctrail.runtime.durations as durations
 
-# How long an operation waits until any leader is known: an election's time.
+# How long an operation waits while no leader is known: the time of an election.
 ELECTION_WAIT = durations.ms(600)
-# An operation without a result is sent again after so long.
+# An operation without a result is sent again after this time.
 RESEND = durations.ms(500)
-# How often operations are looked through, at least.
+# Pending operations are checked at least this often.
 TICK = durations.ms(100)
 RETRY_MS = 300
 
@@ -29,23 +29,23 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingOperation:
-    """An operation whose result is still to come."""
+    """An operation whose result has not been received."""
 
     operation: str
     arguments: dict[str, typing.Any]
     callback: Callback
     deadline: datetime.timedelta
-    # When it was first and last sent to a leader, and how often it was.
+    # When the operation was first and last sent to a leader, and how many times.
     first_sent_at: datetime.timedelta | None = None
     sent_at: datetime.timedelta = durations.ZERO
     sends: int = 0
-    # The term of the first leader that it was sent to.
+    # The term of the first leader that the operation was sent to.
     first_term: int | None = None
 
     def complete(self, result: dict[str, typing.Any], sends_covered: int):
-        """Give the result to the caller; it speaks for `sends_covered` of the copies that were sent.
+        """Give the result, which applies to `sends_covered` of the copies that were sent, to the caller.
 
-        A refusal of one copy is no promise where another may have been, or may still be, carried out.
+        If one copy was refused, but another may have been carried out or may still be, the outcome is unknown.
         """
         if result['status'] in results.REFUSAL_STATUSES and self.sends > sends_covered:
             result = dict(results.LOST)
@@ -53,19 +53,19 @@
 
 
 class OperationRequests:
-    """Has the leader carry out operations. Mixed into Member."""
+    """Requests operations of the leader. A mixin of Member."""
 
-    # How long an operation waits until any leader is known.
+    # How long an operation waits while no leader is known.
     election_wait = ELECTION_WAIT
-    # Whether requests name the heartbeat round that this node saw last.
+    # Whether requests name the last heartbeat round that this node received.
     sends_last_round = True
 
     def __init__(self, rng):
         super().__init__(rng)
-        # {key: PendingOperation}
+        # {request key: operation}
         self.pending_operations: dict[str, PendingOperation] = {}
         self.operation_number = 0
-        # Tells this run of the process from earlier ones with the same node id.
+        # Distinguishes this run of the process from earlier runs with the same node id.
         self.incarnation = ''
 
     def request_operation(
@@ -75,9 +75,9 @@
         callback: Callback,
         wait: datetime.timedelta | None = None,
     ):
-        """Have the leader carry out an operation; callback(result) comes once, whatever happens."""
+        """Have the leader carry out an operation; callback(result) is called exactly once, whatever happens."""
         self.operation_number += 1
-        # A node keeps its id over restarts, and operations of an earlier run must not be taken for those of this one.
+        # A node keeps its id over restarts, and operations of an earlier run must not be mistaken for those of this one.
         self.incarnation = self.incarnation or f'{self.rng.getrandbits(48):x}'
         key = f'{self.incarnation}.{self.operation_number}'
         deadline = self.now + (wait or self.settings.call)
@@ -88,9 +88,10 @@
     def send_operation(self, key: str):
         """Send an operation to the leader, if there is one.
 
-        The newest round names a moment, by the leader's own clock, at which the
-        caller still waited, so that a frame which was held up on its way is
-        recognized as late. Without a round of this leader nothing is sent to it.
+        The request names the newest heartbeat round received. It stands for a
+        time, by the leader's own clock, at which the caller still waited, so the
+        leader recognizes a frame that was delayed on its way. Nothing is sent
+        before a heartbeat round of this leader was received.
         """
         if not self.leader or (self.sends_last_round and not self.heartbeats_received):
             return
@@ -112,22 +113,22 @@
         )
 
     def cancel_operation(self, callback: Callback):
-        """Nobody waits for this result any more: the operation is sent to no further leader."""
+        """Drop the operation of a caller that no longer waits for the result: no further leader is sent it."""
         for key in [key for key, pending in self.pending_operations.items() if pending.callback is callback]:
             del self.pending_operations[key]
 
     def retry_operations(self):
         """Send all pending operations to the present leader.
 
-        That is safe: a leader knows the operations of its term by their keys, and
-        the state knows most others by what they say. Those that it does not know
-        are refused by a leader of a later term (zinctrail.consensus.operations).
+        This is safe: a leader recognizes the operations of its own term by their
+        keys, and the state recognizes most others by their content. A leader of a
+        later term refuses the rest (zinctrail.consensus.operations).
         """
         for key in list(self.pending_operations):
             self.send_operation(key)
 
     def timer_operations(self):
-        """Give up operations whose time is over, and send others again."""
+        """Expire operations whose deadline has passed, and send the others again."""
         self.expire_operations()
         if not self.leader and self.now - self.leaderless_since >= self.election_wait:
             self.refuse_unsent_operations()
@@ -139,28 +140,31 @@
             self.set_timer('operations', min(TICK, earliest - self.now))
 
     def expire_operations(self):
-        """Answer callers whose time is over; what was never sent to a leader was surely not carried out."""
+        """Give callers whose deadline has passed a timeout; an operation never sent was certainly not carried out."""
         for key in [key for key, pending in self.pending_operations.items() if pending.deadline <= self.now]:
             pending = self.pending_operations.pop(key)
             pending.callback({'status': 504, 'unknown': pending.sends > 0, 'fault': NO_RESULT_IN_TIME})
 
     def refuse_unsent_operations(self):
-        """Answer callers that no leader was asked for: others may not be cut off, and know a leader sooner."""
+        """Refuse the operations that no leader was sent, so that callers can retry at other nodes.
+
+        Other nodes may not be partitioned, and may find a leader sooner.
+        """
         for key in [key for key, pending in self.pending_operations.items() if not pending.sends]:
             self.pending_operations.pop(key).callback(dict(NO_LEADER_KNOWN))
 
     def on_operation_response(self, message: messages.OperationResponse):
-        """Give a result to the caller that waits for it."""
+        """Give a received result to the caller that waits for it."""
         pending = self.pending_operations.get(message.key)
         if pending is None:
             return
         if pending.first_sent_at is not None:
             self.leader_received(pending.first_sent_at)
         if message.result.get('status') == results.NO_LEADER['status']:
-            # The sender does not lead any more; the operation is sent to the next leader once that is followed.
+            # The sender is no longer the leader; the operation is sent to the next leader once this node follows it.
             return
         if message.result.get('late') and not (self.leader and self.leader['id'] == message.sender.node):
-            # Refused was a copy that reached another node; what our own leader does is still to come.
+            # Another node refused a copy that reached it; the response of the present leader is still to come.
             return
         del self.pending_operations[message.key]
         pending.complete(message.result, 1)
--- a/zinctrail/consensus/persistence.py
+++ b/zinctrail/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""A voter's durable writes: its identity, its term and vote, and the versions that it accepted."""
+"""A voter's durable writes: its identity, its term and vote, and the versions that it accepts."""
 
 import typing
 
@@ -11,16 +11,16 @@
 import zinctrail.runtime.effects as effects
 import zinctrail.runtime.settings as settings
 
-# A segment is closed once its file holds so many bytes: a larger one would take long to write anew.
+# A segment is closed once its file has this size; rewriting a larger one for further versions would take too long.
 SEGMENT_BYTES = 1 << 20
-# How long after a failed write the disk is tried again.
+# How long after a failed write the next write is tried.
 DISK_RETRY = durations.ms(1000)
-# What a voter whose disk can not be written still takes: messages whose answers need no writing.
+# The messages that a voter with a failed disk still handles, because their responses need no writes.
 KINDS_WITHOUT_WRITES = ('probe', 'probe_re', 'ask_re', 'fetched')
 
 
 class PersistentVoter(typing.Protocol):
-    """What the durable writes need of the voter whose state they hold."""
+    """The interface that Persistence needs of its voter."""
 
     node: str
     term: int
@@ -30,14 +30,14 @@
     out: list
 
     def identity(self) -> storage.NodeFile:
-        """Who this voter is, and its part in forming a cluster."""
+        """Return the content of the file `node`: the voter's identity and its state in forming a cluster."""
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
         """Log a sentence about an event."""
 
 
 class Persistence:
-    """Writes what a voter must not forget, before its answers leave.
+    """Writes a voter's durable state, before the responses that depend on it are sent.
 
     :param files: the data folder as it was found, {name: text}.
     """
@@ -52,35 +52,36 @@
         self.voter = voter
         self.folder = folder
         self.snapshots = snapshots
-        # Whether the disk can not be written.
+        # Whether the last write failed and has not been made up for.
         self.disk_failed = False
         loaded = voter.replica
-        chain = [storage.version_name(version.version) for version in loaded.loaded]
+        chain = [storage.version_name(version.version) for version in loaded.loaded_versions]
         unread = {*storage.obsolete_files(files), *chain}
-        # Files that a segment replaced, and that were not removed yet at the start.
+        # Version files that a segment replaced, but that were still in the folder at the start.
         self.superseded_files = sorted(
             name for name in files if name.startswith(storage.VERSION_PREFIX) and name not in unread
         )
         self.changes_since_snapshot = 0
-        # The bytes of all versions that were written since the newest snapshot, and those before the open segment.
+        # The bytes of all versions written since the newest snapshot, and those in files before the open segment.
         self.version_bytes = self.closed_bytes = sum(len(files[name]) for name in chain)
-        # The changes since the last segment that was closed.
+        # The versions since the last closed segment.
         self.segment = segment.Segment.from_folder(loaded)
 
     # -- identity, term and vote ------------------------------------------
 
     def start(self) -> None:
-        """Write the identity, and forget obsolete files with it.
+        """Write the identity, and remove obsolete files.
 
-        It is written at every start: from here on the folder may hold what older
-        programs can't read. Over restarts that are more frequent than snapshots
-        the obsolete files would pile up.
+        The identity is written at every start because it names the format: from
+        here on the folder may hold files that older programs can't read.
+        Obsolete files are removed here because they would pile up if restarts
+        were more frequent than snapshots.
         """
         obsolete = storage.obsolete_files(self.folder.files) + self.superseded_files
         self.write_identity(obsolete, may_be_open=bool(self.superseded_files))
 
     def write_identity(self, obsolete: typing.Iterable[str] = (), may_be_open: bool = False) -> None:
-        """Write the file `node`, then forget the `obsolete` files."""
+        """Write the file `node`, then remove the `obsolete` files."""
         self.folder.write('node', self.voter.identity(), obsolete, may_be_open)
 
     def write_term(self) -> None:
@@ -89,20 +90,21 @@
         self.folder.write('term', term)
 
     def write_retired(self, successor: str) -> None:
-        """Write down that the voter's cluster was given up for another one."""
+        """Record durably that the cluster `successor` has replaced the voter's cluster."""
         self.folder.write('retired', {'for': successor})
 
     def discard_state(self) -> None:
-        """Forget all versions and snapshots; the identity, the term and the vote in it stay."""
+        """Remove all versions and snapshots; the identity, the term and the vote stay."""
         self.write_identity(self.folder.state_files())
 
     # -- versions ---------------------------------------------------------
 
     def write_version(self, version: storage.Version, base: storage.Version, rows: replica.Rows) -> None:
-        """Write the version just accepted, which is `rows` on `base`: them, or a snapshot where one is due."""
+        """Write the version just accepted, which is `rows` on `base`: a file of its rows, a segment or a snapshot."""
         self.changes_since_snapshot += 1
         every = self.voter.settings.checkpoint_every
-        # By size too: a large state must not be written whole for a few small versions.
+        # Due only once the versions are as large as the last snapshot: a large state must not be rewritten in full for
+        # a few small versions.
         is_due = self.changes_since_snapshot >= every and self.version_bytes >= self.snapshots.newest_bytes
         if is_due and self.snapshots.is_small():
             self.write_snapshot()
@@ -117,11 +119,11 @@
             self.begin_snapshot()
 
     def _write_segment(self, version: storage.Version) -> None:
-        """Gather the files of many versions into one, where the state is too large for a snapshot of them.
+        """Merge the files of many versions into one, if the state is too large for a snapshot.
 
-        Its base is that of the first, so that a reader passes over those that
-        it takes the place of; as long as it does look at them, they are
-        removed one by one, and not written over.
+        The base of the segment is that of its first version, so a reader skips
+        the files that it replaces. Because a reader may still have them open,
+        they are removed one by one, and not overwritten.
         """
         replaced = self.segment.take_replaced_files()
         document = self.segment.document(version)
@@ -134,33 +136,38 @@
     # -- snapshots --------------------------------------------------------
 
     def write_snapshot(self) -> None:
-        """Write all that is accepted as the newest snapshot, at once or as the end of its chunks."""
+        """Write the accepted state as the newest snapshot: in one write, or by completing the chunks received."""
         self._restart_versions()
         if not self.snapshots.finish_received(self.voter.replica.accepted):
             self.snapshots.write_at_once()
 
     def begin_snapshot(self) -> None:
-        """Begin to write what is accepted now in chunks; changes go on being written behind it."""
+        """Begin to write a snapshot of the accepted state in chunks; new versions are written in between."""
         self._restart_versions()
         self.snapshots.begin_own()
 
     def _restart_versions(self) -> None:
-        """Only what comes after a snapshot counts towards the next, and no segment may reach over it."""
+        """Reset the counters towards the next snapshot, and open a new segment: none may span a snapshot."""
         self.changes_since_snapshot = 0
         self.version_bytes = self.closed_bytes = 0
         self.segment = segment.Segment(self.voter.replica.accepted)
 
-    # -- a disk that fails ------------------------------------------------
+    # -- disk errors ------------------------------------------------------
 
     def record_disk_error(self, text: str) -> None:
-        """A write failed: the effects behind it were not carried out, and nothing more is promised."""
+        """Handle a failed write: the effects after it were not carried out, and the voter makes no more promises."""
         if not self.disk_failed:
-            self.voter.log(f'Disk can not be written: {text}. Does not vote or lead.', 'disk', fit=False, why=text)
+            self.voter.log(
+                f'Disk can not be written: {text}. This node does not vote or lead until it can.',
+                'disk',
+                fit=False,
+                why=text,
+            )
         self.disk_failed = True
         self.snapshots.abandon()
 
     def rewrite_all(self) -> None:
-        """Write everything again: any of the writes since the fault may be the one that is missing."""
+        """Write the full durable state again, because any write since the disk error may be missing."""
         self.write_identity()
         self.write_term()
         if self.voter.replica.accepted > storage.NO_VERSION:
@@ -168,6 +175,6 @@
         self.voter.out.append(effects.NotifyDurable('disk'))
 
     def record_disk_recovery(self) -> None:
-        """All writes since the fault are durable."""
+        """Resume normal operation: all writes since the disk error are durable."""
         self.disk_failed = False
         self.voter.log('Disk can be written again.', 'disk', fit=True)
--- a/zinctrail/consensus/replica.py
+++ b/zinctrail/consensus/replica.py
@@ -1,8 +1,8 @@
-"""The replicated state: tables of rows, and how a version changes them.
+"""The replicated state: tables of rows, and the versions that change them.
 
 A version is a (term, generation) pair.
 
-tables: {table: {key: value}}; values are never changed in place.
+tables: {table: {key: value}}; values are never modified in place.
 rows: [[table, key, value or None]]; None removes the key.
 """
 
@@ -16,11 +16,11 @@
 Row = list
 Rows = list[Row]
 
-# The tables that directories and proxies need as well; only voters need the others.
+# The routing tables, which directories and proxies replicate as well; the others are only on voters.
 ROUTES = ('meta', 'conf', 'items', 'cells', 'endpoints', 'members', 'duties', 'doubts')
 
 
-def fold(tables: Tables, rows: Rows) -> None:
+def apply_rows(tables: Tables, rows: Rows) -> None:
     """Apply rows to tables, in place."""
     for table, key, val in rows:
         if val is None:
@@ -30,83 +30,84 @@
 
 
 def routes_of(rows: Rows) -> Rows:
-    """Those of the rows that directories and proxies need."""
+    """Return the rows of the routing tables."""
     return [row for row in rows if row[0] in ROUTES]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadedVersion:
-    """A version that a data folder held beyond its snapshot."""
+    """A version that was loaded from a data folder and is newer than the folder's snapshot."""
 
     version: Version
-    # The version that its rows build on.
+    # The version that the rows build on.
     base: Version
     rows: Rows
-    # The version of the routes before it.
+    # The version of the routing tables before this one.
     routes_before: Version
 
 
 class Replica:
-    """What one node accepted, and how much of it is known to be committed.
+    """One node's copy of the replicated state: what it accepted, and how much of it is known to be committed.
 
-    `tables` holds what is in force; versions accepted since wait in `pending`,
-    [(version, rows)] with the oldest first, until they are committed.
+    `tables` holds the state that is in force. Versions accepted since are in
+    `pending`, [(version, rows)] with the oldest first, until they are committed.
     """
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything, in place, because others keep references to this object."""
+        """Discard the state in place, because other objects hold references to this one."""
         self.tables: Tables = {}
         self.pending: list[tuple[Version, Rows]] = []
-        # What the rows of `pending` come to: {table: {key: value}}.
+        # The newest value of each key in `pending`: {table: {key: value}}.
         self.pending_values: Tables = {}
         self.accepted: Version = (0, 0)
         self.committed: Version = (0, 0)
-        # The version that `tables` stands for.
+        # The version of `tables`.
         self.tables_version: Version = (0, 0)
-        # Whether the next commit brings everything into force, since a whole state was accepted.
+        # Whether the next commit may change every row, because a full state was accepted.
         self.next_commit_is_full = False
-        # What a folder held beyond its snapshot, the oldest first.
-        self.loaded: list[LoadedVersion] = []
+        # The versions that the data folder held after its snapshot, the oldest first.
+        self.loaded_versions: list[LoadedVersion] = []
 
     def size(self) -> int:
-        """How many rows are in force."""
+        """Return the number of rows in force."""
         return sum(len(rows) for rows in self.tables.values())
 
     def get(self, table: str, key: str | None = None) -> typing.Any:
-        """A row that is in force, or all rows of a table, which must not be changed."""
+        """Return the value of a key that is in force, or all rows of a table; neither may be modified."""
         rows = self.tables.get(table, {})
         return rows if key is None else rows.get(key)
 
     def latest(self, table: str, key: str) -> typing.Any:
-        """As `get`, with the accepted but uncommitted rows in force."""
+        """Return the value of a key as `get` does, with the pending rows applied."""
         values = self.pending_values.get(table)
         if values and key in values:
             return values[key]
         return self.tables.get(table, {}).get(key)
 
     def full_table(self, table: str) -> dict[str, typing.Any]:
-        """A copy of one table with the uncommitted rows in force; removed keys may stand as None."""
+        """Return a copy of one table with the pending rows applied; removed keys may be present as None."""
         return {**self.tables.get(table, {}), **self.pending_values.get(table, {})}
 
     def full_state(self, routes: bool = False) -> Tables:
-        """A copy of all tables, or of the `routes` only, with the uncommitted rows in force."""
+        """Return a copy of all tables, or with `routes` of the routing tables, with the pending rows applied."""
         tables = {t: dict(rows) for t, rows in self.tables.items() if not routes or t in ROUTES}
         for _, rows in self.pending:
-            fold(tables, routes_of(rows) if routes else rows)
+            apply_rows(tables, routes_of(rows) if routes else rows)
         return tables
 
-    def fits(self, at: Version, base: Version | None, is_whole: bool) -> bool:
-        """Whether a version, on `base` or whole, may follow what is accepted here.
+    def fits(self, at: Version, base: Version | None, is_full: bool) -> bool:
+        """Whether a version, which builds on `base` or is a full state, may follow the accepted version.
 
-        Versions are compared with their terms, so that receivers never go back, not even to the same generation.
+        Versions are compared as (term, generation), so a receiver never goes back to an older term, not even to one
+        with the same generation.
         """
-        return at > self.accepted and (is_whole or base == self.accepted)
+        return at > self.accepted and (is_full or base == self.accepted)
 
     def accept(self, at: Version, rows: Rows | None = None, tables: Tables | None = None) -> None:
-        """Accept a version: `rows` on what is accepted, or all of it in `tables`."""
+        """Accept a version: `rows` that build on the accepted version, or a full state in `tables`."""
         if tables is not None:
             self.tables = tables
             self.pending, self.pending_values = [], {}
@@ -115,30 +116,30 @@
         else:
             rows = rows or []
             self.pending.append((at, rows))
-            self._note_pending(rows)
+            self._record_pending(rows)
         self.accepted = at
 
-    def _note_pending(self, rows: Rows) -> None:
-        """Note what pending rows come to."""
+    def _record_pending(self, rows: Rows) -> None:
+        """Update `pending_values` with rows."""
         for table, key, val in rows:
             self.pending_values.setdefault(table, {})[key] = val
 
     def apply_pending(self, at: Version | None = None) -> Rows:
-        """Fold what is pending, up to and with `at`, into the tables; returns its rows."""
-        folded: Rows = []
+        """Apply the pending versions up to and including `at`, or all of them, to the tables; return their rows."""
+        applied: Rows = []
         while self.pending and (at is None or self.tables_version != at):
             self.tables_version, rows = self.pending.pop(0)
-            fold(self.tables, rows)
-            folded.extend(rows)
+            apply_rows(self.tables, rows)
+            applied.extend(rows)
         self.pending_values = {}
         for _, rows in self.pending:
-            self._note_pending(rows)
-        return folded
+            self._record_pending(rows)
+        return applied
 
     def commit(self, at: Version) -> Rows | None:
-        """Apply all up to and with an accepted version.
+        """Commit the accepted versions up to and including `at`.
 
-        Returns the rows that came into force, or None for everything at once.
+        Returns the rows that came into force, or None if every row may have changed.
         """
         if at <= self.committed or (at != self.tables_version and all(a != at for a, _ in self.pending)):
             return []
@@ -151,24 +152,24 @@
 
 
 class VotingSet(typing.TypedDict):
-    """The voting configuration as it stands in the state: the ids of voters."""
+    """The voting configuration in the replicated state: the ids of the voters."""
 
     committed: list[str]
-    # The same but during a change of the configuration.
+    # Differs from `committed` only during a change of the configuration.
     accepted: list[str]
 
 
 def quorum(nodes: collections.abc.Iterable[str], voters: collections.abc.Collection[str] | None) -> bool:
-    """Whether `nodes` are a strict majority of the voters."""
+    """Whether `nodes` include a strict majority of the voters."""
     if not voters:
         return False
     return 2 * len(set(nodes) & set(voters)) > len(voters)
 
 
 def joint_quorum(nodes: collections.abc.Iterable[str], voting_set: VotingSet | None) -> bool:
-    """Whether `nodes` are a majority of the committed voting set and of the accepted one.
+    """Whether `nodes` include a majority of the committed voting set and a majority of the accepted one.
 
-    During a change of the set neither the old nor the new one may be passed by.
+    During a change of the voting set, no decision may be made without both the old set and the new one.
     """
     if not voting_set:
         return False
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's single line of state versions: computed, published and committed in order."""
+"""Log replication on the leader: state versions are computed, published and committed in order."""
 
 import collections
 import dataclasses
@@ -12,33 +12,33 @@
 import zinctrail.consensus.results as consensus_results
 import zinctrail.consensus.transactions as transactions
 
-# How many state versions may be on their way to a quorum at once.
+# How many state versions may be published and not yet committed at once.
 MAX_IN_FLIGHT = 16
-# The line of waiting changes is refused further ones from so many times `queue_most` on.
+# Further changes are refused once the queue holds this many times `queue_most`.
 QUEUE_FACTOR = 4
 BUSY = {'status': 503, 'fault': 'busy', 'retry_ms': 200}
 
 
 @dataclasses.dataclass(slots=True)
 class PendingResult:
-    """The result of a change or read, known but not to be told before what it rests on is committed."""
+    """The result of a change or read, withheld until the version that it depends on is committed."""
 
     callback: typing.Callable[[dict], None]
     result: dict
-    # What is told instead where this node stops leading before.
+    # The result to give instead if this node loses its leadership first.
     if_leadership_lost: dict
 
 
 @dataclasses.dataclass(slots=True)
 class Publication:
-    """A state version that was published and is not committed yet."""
+    """A state version that was published and is not yet committed."""
 
     version: tuple[int, int]
-    # The rows that lead to it from the version before: [[table, key, value or None]].
+    # The rows that changed since the previous version: [[table, key, value or None]].
     rows: list
     changes_routes: bool
     changes_voting_set: bool
-    # The voting sets {'committed': nodes, 'accepted': nodes}, a majority of both of which must accept it.
+    # The voting sets {'committed': nodes, 'accepted': nodes}; a majority of each must accept the version.
     voting_set: dict
     accepted_by: set[str]
     published_at: datetime.timedelta
@@ -46,20 +46,20 @@
 
 
 class Replication(leader_part.LeaderPart):
-    """Computes versions out of submitted changes, publishes them, and commits what a quorum accepted."""
+    """Computes versions from submitted changes, publishes them, and commits those that a quorum accepted."""
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
         # Changes that wait for the next version.
         self.queue: list[transactions.Task] = []
-        # What is published and not committed, the oldest first.
+        # The published and uncommitted versions, the oldest first.
         self.in_flight: collections.deque[Publication] = collections.deque()
         self.last_published_at: datetime.timedelta | None = None
 
     # -- changes and reads ------------------------------------------------
 
     def submit(self, work: typing.Callable, callback: typing.Callable, for_caller: bool):
-        """Put a change into the line; see `Leading.submit`."""
+        """Add a change to the queue; see `Leading.submit`."""
         if len(self.queue) >= self.voter.settings.queue_most * QUEUE_FACTOR:
             callback(dict(BUSY))
         else:
@@ -67,32 +67,32 @@
             self.try_publish()
 
     def read(self, work: typing.Callable, callback: typing.Callable):
-        """Read what is in force; see `Leading.read`."""
+        """Read the state in force; see `Leading.read`."""
         voter = self.voter
 
-        def look(is_confirmed):
+        def read_if_confirmed(is_confirmed):
             if is_confirmed and self.is_current:
                 callback(transactions.View(voter.replica, voter.replica.committed, voter.now).run(work))
             else:
                 callback(consensus_results.NO_LEADER)
 
-        def read_again(result):
+        def retry_read(result):
             if result['status'] == 200:
                 voter.read(work, callback)
             else:
                 callback(result)
 
         if voter.replica.committed[0] != voter.term:
-            # What was acknowledged before this term may be missing until its first version is in force.
-            voter.submit(lambda transaction: {'status': 200}, read_again)
+            # Until the first version of this term is committed, changes acknowledged in earlier terms may be missing.
+            voter.submit(lambda transaction: {'status': 200}, retry_read)
         else:
-            self.leadership.fenced_reads.fence(look)
+            self.leadership.fenced_reads.fence(read_if_confirmed)
 
-    def answer_unchanged(self, results: list[PendingResult]):
-        """Give the results of work that changed nothing.
+    def complete_unchanged(self, results: list[PendingResult]):
+        """Give the results of tasks that changed nothing.
 
-        They are those of reads: told once this node is known to have led after they came, and all that they saw is
-        committed.
+        They are treated as reads: the results are withheld until a quorum confirms that this node still led after the
+        tasks arrived, and until the version that they saw is committed.
         """
         seen = self.voter.replica.accepted
 
@@ -109,11 +109,11 @@
     # -- publishing -------------------------------------------------------
 
     def try_publish(self):
-        """Publish the next version with all changes that wait, as soon as one may follow the last."""
+        """Publish all queued changes as the next version, if one may be published now."""
         if not self._may_publish():
             return
         voter = self.voter
-        # What comes at about the same time shares a publication.
+        # Changes that arrive within `gather` are batched into one version.
         if self.last_published_at is not None and voter.now < self.last_published_at + voter.settings.gather:
             voter.timers.setdefault('publish', self.last_published_at + voter.settings.gather)
             return
@@ -126,18 +126,18 @@
             return False
         if len(self.in_flight) >= MAX_IN_FLIGHT:
             return False
-        # Nothing is published that could not be committed: its callers can then be refused for certain.
+        # While a majority is silent, nothing is published: callers can then be told that nothing was carried out.
         if self.voter.majority_contact.is_round_overdue():
             return False
-        # The first version of a term stands alone: what a leader keeps beside the state, as of locks and heartbeats
-        # of endpoints, begins once it is in force.
+        # The first version of a term must be committed before the next is published: the leader's own records besides
+        # the state, such as those of locks and endpoint heartbeats, begin once it is in force.
         if self.in_flight and self.voter.replica.committed[0] != self.voter.term:
             return False
-        # Nothing follows an uncommitted change of the voting set: each set's quorums must know of the one before.
+        # An uncommitted change of the voting set blocks further versions: a quorum of each set must know the set before.
         return not any(publication.changes_voting_set for publication in self.in_flight)
 
     def publish(self):
-        """Compute the next version out of the whole line, and send it."""
+        """Compute the next version from all queued changes, and send it."""
         voter = self.voter
         queue, self.queue = self.queue, []
         base, version = voter.replica.accepted, (voter.term, voter.replica.accepted[1] + 1)
@@ -146,8 +146,8 @@
         rows = transaction.rows()
         if not rows:
             for pending in results:
-                pending.if_leadership_lost = consensus_results.UNSURE
-            self.answer_unchanged(results)
+                pending.if_leadership_lost = consensus_results.LEADERSHIP_UNCONFIRMED
+            self.complete_unchanged(results)
             return
         changes_routes = bool(replica.routes_of(rows))
         if changes_routes:
@@ -157,8 +157,8 @@
         voter.history.add(base, version, rows, voter.replica.size())
         voter.counts['generations'] += 1
         self._send_publication(rows, changes_routes)
-        # After the sends: the other disks and ours may write at the same time. Ours counts only when it is done, since
-        # effects are carried out in order.
+        # Written after the sends, so that this disk and those of the other voters write at the same time. Effects are
+        # carried out in order, so our own acceptance takes effect only once the write is durable.
         voter.persist(version, base, rows, None)
         if len(self.in_flight) == 1:
             voter.set_timer('publication', voter.settings.publish)
@@ -177,18 +177,19 @@
         )
 
     def _send_publication(self, rows, changes_routes):
-        # Newcomers get it before it is committed, since their answers may be what makes the quorum.
+        # New members get the version before it is committed, since their responses may be needed for the quorum.
         for table, node, row in rows:
             if table == 'members' and row:
                 self.leadership.membership.add_peer(node, row)
         for peer in self.leadership.peers.values():
-            if peer.is_control_node or (changes_routes and not self.owes_answer(peer)):
+            if peer.is_control_node or (changes_routes and not self.awaits_response(peer)):
                 self.leadership.member_updates.offer(peer)
 
-    def owes_answer(self, peer):
-        """Whether a member that does not vote has not yet answered for the last version it was sent.
+    def awaits_response(self, peer):
+        """Whether to wait for a non-voting member's response to the last version that it was sent.
 
-        It is waited for, a while: what changes meanwhile goes to it in one frame, and it holds up no other member.
+        The wait is bounded by the setting `ack`. Changes made meanwhile go to the member in one frame, and no other
+        member is delayed.
         """
         return (
             peer.sent_version is not None
@@ -196,18 +197,18 @@
             and self.voter.now - peer.sent_at < self.voter.settings.ack
         )
 
-    # -- answers and commits ----------------------------------------------
+    # -- responses and commits --------------------------------------------
 
     def on_response(self, message: messages.PublishResponse):
-        """A member answered for a version of this term that it was sent."""
+        """Handle a member's response to a version that it was sent in this term."""
         peer = self.leadership.peers.get(message.sender.node)
         if peer is None or message.accepted is None:
-            # Without `accepted` it refused a version of an older term of ours, and says only which term it reached.
+            # Without `accepted`, the member is in a newer term than the version, and reports only that term.
             return
         peer.accepted = max(peer.accepted or (0, 0), message.accepted) if message.is_accepted else message.accepted
         self.leadership.state_transfers.finish(peer, message.version)
         if not message.is_accepted and message.version == peer.sent_version:
-            # Only for the last: each of those on their way before it was refused, too.
+            # Only for the last version sent: each version in flight before it is refused as well.
             peer.sent_version, peer.notified_commit = None, (0, 0)
         self.note_accepted(peer)
         if not self.is_current or peer.node not in self.leadership.peers:
@@ -217,11 +218,12 @@
         self.leadership.member_updates.notify_commit(peer)
 
     def _may_offer_again(self, peer):
-        # To voters everything is sent as it is published; they are offered more only where it is unknown what arrives.
+        # Voters are sent every version as it is published; further ones are offered only if it is unknown what they
+        # have received.
         return peer.sent_version is None or (not peer.is_control_node and peer.sent_version == peer.accepted)
 
     def note_accepted(self, peer: peers.Peer):
-        """Count a member that has all up to the version it says it accepted: a term makes one line of versions."""
+        """Count a member for every version up to the one that it accepted: within a term versions are linear."""
         if peer.accepted[0] != self.voter.term:
             return
         self.leadership.voting_configuration.note_caught_up(peer)
@@ -236,7 +238,7 @@
             self.check_commit()
 
     def check_commit(self):
-        """Commit the publications that a quorum accepted, and do what waited for that."""
+        """Commit the publications that a quorum accepted, and run everything that waited for the commit."""
         voter = self.voter
         done = self._take_accepted()
         if not done:
@@ -256,13 +258,13 @@
         voting_configuration = self.leadership.voting_configuration
         if voting_configuration.waits_for_commits or any(publication.changes_routes for publication in done):
             voting_configuration.reconfigure()
-        # Before the members are notified: what is published now tells of the commit, too.
+        # Before the members are notified, because a version that is published now carries the commit as well.
         self.try_publish()
         for peer in list(self.leadership.peers.values()):
             self.leadership.member_updates.notify_commit(peer)
 
     def _take_accepted(self):
-        """The oldest publications that a quorum accepted, taken out of those in flight."""
+        """Remove the oldest publications that a quorum accepted from those in flight, and return them."""
         done = []
         while self.in_flight and replica.joint_quorum(self.in_flight[0].accepted_by, self.in_flight[0].voting_set):
             done.append(self.in_flight.popleft())
@@ -273,19 +275,22 @@
         return done
 
     def on_commit_response(self, message: messages.CommitResponse):
-        """A member that does not vote says what it has committed."""
+        """Handle a non-voting member's report of its committed version."""
         peer = self.leadership.peers.get(message.sender.node)
         if peer is None:
             return
         peer.committed = max(peer.committed, message.version)
         if peer.lease_granted_at is None:
-            # The round that its lease rests on may have been answered while it took this.
+            # A quorum may have responded to the lease's heartbeat round while the member applied the commit.
             self.leadership.leases.grant(peer)
 
-    # -- the end ----------------------------------------------------------
+    # -- loss of leadership -----------------------------------------------
 
     def abandon(self):
-        """The leadership is lost: tell whoever waits for a change; a successor may still commit what is in flight."""
+        """Give waiting callers their results after the leadership is lost.
+
+        The next leader may still commit the versions in flight, so their outcome is unknown.
+        """
         in_flight, self.in_flight = self.in_flight, collections.deque()
         queue, self.queue = self.queue, []
         for publication in in_flight:
@@ -295,7 +300,7 @@
             task.callback(consensus_results.NO_LEADER)
 
     def refuse_callers(self):
-        """Refuse what callers wait for and that was not published; the leader's own changes stay in the line."""
+        """Refuse the queued changes that callers wait for; the leader's own changes stay in the queue."""
         queue, self.queue = self.queue, []
         self.queue = [task for task in queue if not task.for_caller]
         for task in queue:
--- a/zinctrail/consensus/results.py
+++ b/zinctrail/consensus/results.py
@@ -1,22 +1,22 @@
-"""Results that the consensus layer itself gives to operations."""
+"""Results of operations that the consensus layer itself produces."""
 
 import typing
 
 
 class OperationResult(typing.TypedDict, total=False):
-    """The result of an operation, as it is sent to the node that requested it; operations add their own fields."""
+    """The result of an operation, as sent to the node that requested it; operations add fields of their own."""
 
     status: int
-    # Why it was refused, or why its result is not known.
+    # Why the operation was refused, or why its outcome is unknown.
     fault: str
-    # Whether the operation may have been carried out all the same.
+    # Whether the operation may have been carried out despite the status.
     unknown: bool
-    # Whether this copy of the request was refused only because it was under way for too long.
+    # Whether this copy of the request was refused only because it was in flight for too long.
     late: bool
     retry_ms: int
 
 
-# Statuses which promise that the operation was not carried out and will not be.
+# The statuses that guarantee that the operation was not carried out and will not be.
 REFUSAL_STATUSES = (421, 429, 503)
 
 NO_LEADER: OperationResult = {'status': 421, 'fault': 'not the master'}
@@ -31,10 +31,11 @@
     'fault': 'the call came too late to be done',
     'retry_ms': 300,
 }
-NO_ROOM: OperationResult = {
+OVERLOADED: OperationResult = {
     'status': 503,
     'fault': 'the master carries out too many operations',
     'retry_ms': 300,
 }
-# Not LOST, because an operation that found nothing to change may have been carried out by an earlier copy of it.
-UNSURE: OperationResult = {'status': 421, 'unknown': True, 'fault': 'not the master any more'}
+# For an operation that changed nothing, if the leadership is lost before it is confirmed. Not LOST, because such an
+# operation found nothing to change, possibly because an earlier copy of it had been carried out.
+LEADERSHIP_UNCONFIRMED: OperationResult = {'status': 421, 'unknown': True, 'fault': 'not the master any more'}
--- a/zinctrail/consensus/snapshot_writer.py
+++ b/zinctrail/consensus/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Snapshots of the state: small ones written at once, large ones in chunks so that no heartbeat waits for them."""
+"""Writes snapshots of the state: small ones in one write, large ones in chunks so as not to delay heartbeats."""
 
 import dataclasses
 import datetime
@@ -11,12 +11,12 @@
 import zinctrail.consensus.version_receiver as version_receiver
 import zinctrail.runtime.durations as durations
 
-# Smaller states are written at once.
+# States with fewer bytes and fewer rows are written in one write.
 AT_ONCE_BYTES = 1 << 20
 AT_ONCE_ROWS = 4096
-# How long after a chunk the next one of our own snapshot is written.
-PAUSE = durations.ms(20)
-# The timer of the next chunk.
+# The interval between the chunks of a local snapshot.
+CHUNK_INTERVAL = durations.ms(20)
+# The name of the timer for the next chunk.
 TIMER = 'snapshot'
 
 
@@ -25,33 +25,34 @@
     """A snapshot that is being written in chunks."""
 
     text: storage.SnapshotText
-    # Its rows where it is our own; None for a state that is received.
+    # The rows of a local snapshot; None for a state that is being received.
     content: chunked_transfer.Content | None
-    # The number of the next chunk of them.
+    # The number of the next chunk of `content` to write.
     next_chunk: int = 0
     written_bytes: int = 0
 
     def is_received(self, version: storage.Version) -> bool:
-        """Whether it is that of a version which is received in chunks."""
+        """Whether this is the snapshot of `version`, written as the version is received in chunks."""
         return self.content is None and self.text.at == version
 
 
 class SnapshottedVoter(typing.Protocol):
-    """What the snapshots need of the voter whose state they hold."""
+    """The interface that SnapshotWriter needs of its voter."""
 
     replica: replica.Replica
     version_receiver: version_receiver.VersionReceiver
     timers: dict[str, datetime.timedelta]
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it."""
+        """Set a timer, or reset it if it is set already."""
 
 
 class SnapshotWriter:
     """Writes a voter's snapshots.
 
-    One is under way at a time: our own, of a version that is kept as it was
-    while the state goes on, or that of a state which is received in chunks.
+    At most one is in progress: a local snapshot, of a version that stays
+    unchanged while the state advances, or the snapshot of a state that is being
+    received in chunks.
 
     :param files: the data folder as it was found, {name: text}.
     """
@@ -59,7 +60,7 @@
     def __init__(self, voter: SnapshottedVoter, folder: data_folder.DataFolder, files: dict[str, str]) -> None:
         self.voter = voter
         self.folder = folder
-        # The length of the newest snapshot.
+        # The size of the newest complete snapshot.
         self.newest_bytes = max(
             (len(text) for name, text in files.items() if name.startswith(storage.SNAPSHOT_PREFIX)), default=0
         )
@@ -67,11 +68,11 @@
         self.open_snapshot: OpenSnapshot | None = None
 
     def is_small(self) -> bool:
-        """Whether the state is small enough for a snapshot that is written at once."""
+        """Whether the state is small enough to write its snapshot in one write."""
         return self.newest_bytes < AT_ONCE_BYTES and self.voter.replica.size() < AT_ONCE_ROWS
 
     def write_at_once(self) -> None:
-        """Write all that is accepted as the newest snapshot; one that is under way is given up."""
+        """Write the accepted state as the newest snapshot in one write; abandon a snapshot in progress."""
         self.abandon()
         version = self.voter.replica.accepted
         name = storage.snapshot_name(version)
@@ -86,18 +87,18 @@
     # -- in chunks --------------------------------------------------------
 
     def is_under_way(self) -> bool:
-        """Whether a snapshot is under way; that of a state which is not received any more does not count."""
+        """Whether a snapshot is in progress; one whose state is no longer being received does not count."""
         if self.open_snapshot is None:
             return False
         return self.open_snapshot.content is not None or self.voter.version_receiver.incoming is not None
 
     def abandon(self) -> None:
-        """Give up the snapshot that is under way."""
+        """Abandon the snapshot in progress, if there is one."""
         self.open_snapshot = None
         self.voter.timers.pop(TIMER, None)
 
     def _begin(self, version: storage.Version, content: chunked_transfer.Content | None) -> None:
-        """Begin to write the snapshot of a version in chunks; one that is under way is given up."""
+        """Begin to write the snapshot of a version in chunks; abandon a snapshot in progress."""
         self.abandon()
         self.open_snapshot = OpenSnapshot(storage.SnapshotText(version), content)
         self._write_chunk(self.open_snapshot, self.open_snapshot.text.begin(), first=True)
@@ -107,7 +108,7 @@
         self.folder.write_chunk(storage.snapshot_name(snapshot.text.at), text, first)
 
     def _finish(self, snapshot: OpenSnapshot) -> None:
-        """The snapshot that was written in chunks becomes the newest one."""
+        """Complete a snapshot that was written in chunks; it becomes the newest one."""
         text, name = snapshot.text, storage.snapshot_name(snapshot.text.at)
         self._write_chunk(snapshot, text.end())
         self.abandon()
@@ -117,16 +118,16 @@
         self.newest_bytes = snapshot.written_bytes
         self.folder.commit_chunks(name, text.head(), obsolete)
 
-    # -- our own ----------------------------------------------------------
+    # -- local snapshots --------------------------------------------------
 
     def begin_own(self) -> None:
-        """Begin to write what is accepted now in chunks."""
+        """Begin to write a local snapshot of the accepted state in chunks."""
         version = self.voter.replica.accepted
         self._begin(version, chunked_transfer.Content.full_state(version, self.voter.replica.full_state()))
-        self.voter.set_timer(TIMER, PAUSE)
+        self.voter.set_timer(TIMER, CHUNK_INTERVAL)
 
     def write_next_chunk(self) -> None:
-        """Write the next chunk of our own snapshot, if one is under way."""
+        """Write the next chunk of the local snapshot, if one is in progress."""
         snapshot = self.open_snapshot
         if snapshot is None or snapshot.content is None:
             return
@@ -136,12 +137,12 @@
             self._finish(snapshot)
         else:
             self._write_chunk(snapshot, snapshot.text.rows(rows))
-            self.voter.set_timer(TIMER, PAUSE)
+            self.voter.set_timer(TIMER, CHUNK_INTERVAL)
 
-    # -- of a state that is received in chunks ----------------------------
+    # -- snapshots of a state that is received in chunks ------------------
 
     def chunk_received(self, incoming: chunked_transfer.Incoming, rows: replica.Rows) -> None:
-        """Write a chunk of a whole state as it comes, so that not all of it has to be written at its end."""
+        """Write a chunk of a full state as it arrives, so that not all chunks have to be written after the last."""
         if incoming.tables is None:
             return
         version = incoming.key.version
@@ -152,9 +153,9 @@
             self._write_chunk(snapshot, snapshot.text.rows(rows))
 
     def finish_received(self, version: storage.Version) -> bool:
-        """Complete the snapshot of a version that was written in chunks as it came; False if it was not."""
+        """Complete the snapshot of a version that was written as it was received; False if there is none."""
         snapshot = self.open_snapshot
-        if snapshot is None or not snapshot.is_received(version) or not snapshot.text.fit:
+        if snapshot is None or not snapshot.is_received(version) or not snapshot.text.is_contiguous:
             return False
         self._finish(snapshot)
         return True
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers in chunks, from the leader to members that lack more than one frame should carry."""
+"""Chunked transfers from the leader to members whose missing rows are too large for one frame."""
 
 import typing
 
@@ -11,36 +11,40 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# Of so many members beyond twice the present ones it is remembered that they read chunks.
+# Members that read chunks are forgotten once they exceed twice the present members by more than this.
 CHUNK_READERS_SPARE = 64
 NO_VERSION = (0, 0)
 
 
 class StateTransfers(leader_part.LeaderPart):
-    """The transfers in chunks that are under way."""
+    """The chunked transfers in progress."""
 
     def __init__(self, voter: leader_part.LeadingVoter, leadership: 'leadership.Leadership') -> None:
         super().__init__(voter, leadership)
-        # {member: its transfer}, also of members that are gone for a while.
+        # {member: its transfer}, including those to members that are absent for a while.
         self.transfers: dict[str, chunked_transfer.Outgoing] = {}
-        # Whole states being sent: {whether everything, and not only the routes: content}.
-        self.whole_states: dict[bool, chunked_transfer.Content] = {}
+        # The full states being sent: {True for all tables, False for the routing tables only: content}.
+        self.full_states: dict[bool, chunked_transfer.Content] = {}
 
     def is_under_way(self, peer: peers.Peer) -> bool:
-        """Whether a member is being sent something in chunks."""
+        """Whether a chunked transfer to a member is in progress."""
         return peer.node in self.transfers
 
     def begin(self, peer: peers.Peer, base: tuple[int, int] | None, rows: list | None) -> bool:
-        """Whether what a member lacks goes to it in chunks: `rows` on `base`, or everything where rows is None."""
+        """Begin a chunked transfer of `rows` on `base`, or of the full state if `rows` is None.
+
+        Returns False, without sending, if the member does not read chunks, or the content fits in one chunk or is not
+        newer than what the member has.
+        """
         voter = self.voter
         if peer.node not in voter.chunk_readers:
             return False
-        has = peer.accepted or NO_VERSION
+        accepted_version = peer.accepted or NO_VERSION
         if rows is None:
             content = self._whole_state(peer)
         else:
             content = chunked_transfer.Content(self.leadership.member_updates.latest_for(peer), base, rows)
-        if content.is_single() or content.at <= has:
+        if content.is_single() or content.at <= accepted_version:
             return False
         if rows is None:
             voter.counts['full'] += 1
@@ -50,25 +54,28 @@
         return True
 
     def _whole_state(self, peer: peers.Peer) -> chunked_transfer.Content:
-        """A state newer than what a member has; one being sent already will do while changes lead on from it."""
+        """Return a full state newer than the member's version.
+
+        A state that is being sent already is reused as long as the history has the changes that follow it.
+        """
         everything = peer.is_control_node
-        content = self.whole_states.get(everything)
-        has = peer.accepted or NO_VERSION
-        if content is not None and content.at > has and self.voter.history.reaches(content.at, everything):
+        content = self.full_states.get(everything)
+        accepted_version = peer.accepted or NO_VERSION
+        if content is not None and content.at > accepted_version and self.voter.history.reaches(content.at, everything):
             return content
         version = self.leadership.member_updates.latest_for(peer)
         content = chunked_transfer.Content.full_state(version, self.voter.replica.full_state(routes=not everything))
-        self.whole_states[everything] = content
+        self.full_states[everything] = content
         return content
 
     def resume(self, peer: peers.Peer) -> bool:
-        """Go on with a transfer to a member that is back; False if there is none that still serves it."""
+        """Resume the transfer to a member that has returned; False if there is none that it can still use."""
         transfer = self.transfers.get(peer.node)
         if transfer is None:
             return False
         content = transfer.content
-        has = peer.accepted or NO_VERSION
-        fits = content.at > has and content.base in (None, has)
+        accepted_version = peer.accepted or NO_VERSION
+        fits = content.at > accepted_version and content.base in (None, accepted_version)
         reads_chunks = peer.node in self.voter.chunk_readers
         if not fits or not reads_chunks or not self.voter.history.reaches(content.at, peer.is_control_node):
             del self.transfers[peer.node]
@@ -82,12 +89,12 @@
         transfer = self.transfers[peer.node]
         content = transfer.content
         peer.sent_at, peer.sent_version = voter.now, content.at
-        for number in transfer.due(voter.now):
+        for number in transfer.take_due(voter.now):
             voter.counts['pieces'] += 1
             voter.send(peer.address, self._chunk_frame(content, number), peer.level >= 2)
 
     def _chunk_frame(self, content: chunked_transfer.Content, number: int) -> codec.Frame:
-        """The frame of a chunk: the same object for all receivers, so that it is encoded once for many."""
+        """Return the frame of a chunk: the same object for all receivers, so that it is encoded only once."""
         if number not in content.frames:
             chunk = messages.Chunk(
                 term=self.voter.term,
@@ -103,7 +110,7 @@
         return content.frames[number]
 
     def on_response(self, message: messages.ChunkResponse) -> None:
-        """A member says how many chunks of its transfer it has."""
+        """Handle a member's acknowledgement of the chunks that it has."""
         node = codec.sender_of(message).node
         peer = self.leadership.peers.get(node)
         transfer = self.transfers.get(node)
@@ -115,29 +122,29 @@
             self._send_due(peer)
 
     def resend_if_unacknowledged(self, peer: peers.Peer) -> None:
-        """Send again what was not acknowledged for long."""
+        """Send unacknowledged chunks again if the receiver made no progress for RESEND."""
         transfer = self.transfers[peer.node]
-        if self.voter.now - transfer.heard_at >= chunked_transfer.RESEND:
+        if self.voter.now - transfer.last_progress_at >= chunked_transfer.RESEND:
             transfer.resume(self.voter.now)
             self._send_due(peer)
 
     def finish(self, peer: peers.Peer, version: tuple[int, int]) -> None:
-        """The member answered for `version`; where that is the whole of its transfer, the transfer is over."""
+        """Handle a member's response to `version`: the transfer is over if it led to that version or an older one."""
         transfer = self.transfers.get(peer.node)
         if transfer is not None and (
             version == transfer.content.at or (peer.accepted or NO_VERSION) >= transfer.content.at
         ):
             del self.transfers[peer.node]
-            # Nothing else was sent to it meanwhile: what changed since is still to come.
+            # Nothing else was sent to the member during the transfer; the changes since must still be offered to it.
             peer.sent_version = None
 
     def forget_unused(self) -> None:
-        """Drop transfers to members that stay away, and whole states that nobody is being sent."""
-        oldest = self.voter.now - chunked_transfer.KEPT
+        """Drop the transfers to members absent for longer than RETENTION, and the full states that none uses."""
+        oldest = self.voter.now - chunked_transfer.RETENTION
         peers_here, readers = self.leadership.peers, self.voter.chunk_readers
-        for node in [n for n, t in self.transfers.items() if n not in peers_here and t.heard_at < oldest]:
+        for node in [n for n, t in self.transfers.items() if n not in peers_here and t.last_progress_at < oldest]:
             del self.transfers[node]
         used = {id(transfer.content) for transfer in self.transfers.values()}
-        self.whole_states = {key: content for key, content in self.whole_states.items() if id(content) in used}
+        self.full_states = {key: content for key, content in self.full_states.items() if id(content) in used}
         if len(readers) > 2 * len(peers_here) + CHUNK_READERS_SPARE:
             readers &= set(peers_here)
--- a/zinctrail/consensus/storage.py
+++ b/zinctrail/consensus/storage.py
@@ -1,9 +1,9 @@
-"""How a voter's durable state is laid out in its data folder, without touching a disk.
+"""The file formats of a voter's data folder; this module does no I/O.
 
-  node          the node's id, the format of the folder (1 where none is given), and its part in forming a cluster
+  node          the node's id, the folder's format (1 if missing), and the node's state in forming a cluster
   term          the current term, and the vote in it
-  ckpt-G-T      a snapshot: the whole state as of generation G, accepted in term T
-  gen-G-T       the rows of one version, and the version they build on
+  ckpt-G-T      a snapshot: the full state as of generation G, accepted in term T
+  gen-G-T       the rows of one version or of several, and the version that they build on
 
 Every file is one line: a CRC-32, a space, JSON.
 """
@@ -16,7 +16,7 @@
 import zinctrail.consensus.replica as replica
 import zinctrail.errors as errors
 
-# 2: locks name their taking, call results what they were for, incarnations gone are rows.
+# Format 2: locks name their acquisition, call results name their operation, removed incarnations are rows.
 FORMAT = 2
 NO_VERSION = (0, 0)
 VERSION_PREFIX, SNAPSHOT_PREFIX = 'gen-', 'ckpt-'
@@ -26,45 +26,45 @@
 
 
 class PromisedSet(typing.TypedDict):
-    """The cluster that a node has promised to form, and the nodes that form it."""
+    """The cluster that a node has promised to form, and the nodes of that cluster."""
 
     cluster: str
-    # Rises with each promise of a node.
+    # Increases with each promise of a node.
     number: int
     nodes: list[str]
 
 
 class NodeFile(typing.TypedDict):
-    """The file `node`."""
+    """Content of the file `node`."""
 
     id: str
     format: typing.NotRequired[int]
-    # Whether the node may form a cluster: it was there when the whole system first started, and kept its disk since.
+    # Whether the node may form a cluster: it took part in the system's first start, and has kept its disk since.
     may_form: typing.NotRequired[bool]
     promised: typing.NotRequired[PromisedSet | None]
-    # The nodes of the clusters that it has promised to form before.
+    # The sets of nodes that the node promised to form a cluster with earlier.
     earlier_sets: typing.NotRequired[list[list[str]]]
 
 
 class TermFile(typing.TypedDict):
-    """The file `term`."""
+    """Content of the file `term`."""
 
     term: int
     vote: str | None
 
 
 class VersionFile(typing.TypedDict):
-    """A file `gen-G-T`."""
+    """Content of a file `gen-G-T`."""
 
     term: int
     gen: int
-    # A (term, generation) pair.
+    # The (term, generation) of the version that the rows build on.
     base: collections.abc.Sequence[int]
     rows: replica.Rows
 
 
 class SnapshotFile(typing.TypedDict):
-    """A file `ckpt-G-T`."""
+    """Content of a file `ckpt-G-T`."""
 
     term: int
     gen: int
@@ -74,14 +74,14 @@
 class FolderDocuments(typing.NamedTuple):
     """The newest snapshot of a data folder, and the versions after it."""
 
-    # NO_VERSION where there is none.
+    # NO_VERSION without a snapshot.
     snapshot_version: Version
     snapshot: SnapshotFile | None
     versions: dict[Version, VersionFile]
 
 
 class LoadedFolder(typing.NamedTuple):
-    """What a data folder holds; `node` is None for an empty one."""
+    """The state loaded from a data folder; `node` is None if the folder is empty."""
 
     node: str | None
     cluster: str
@@ -91,13 +91,13 @@
 
 
 def encode(document: typing.Any) -> str:
-    """The text of a file."""
+    """Encode a document as the text of a file."""
     text = json.dumps(document, separators=(',', ':'), sort_keys=True)
     return f'{zlib.crc32(text.encode()):08x} {text}'
 
 
 def decode(name: str, text: str) -> typing.Any:
-    """The document in a file; raises errors.CorruptionError where its checksum differs."""
+    """Decode the document in a file; raises errors.CorruptionError if its checksum does not match."""
     try:
         checksum, body = text.split(' ', 1)
         if int(checksum, 16) != zlib.crc32(body.encode()):
@@ -108,32 +108,32 @@
 
 
 class SnapshotText:
-    """The text of a snapshot, made a few rows at a time; those of one table must come together."""
+    """Builds the text of a snapshot a few rows at a time; the rows of one table must be contiguous."""
 
-    # Stands for the checksum until it is known.
+    # Takes the place of the checksum until that is known.
     PLACEHOLDER = '0' * 8 + ' '
 
     def __init__(self, at: Version) -> None:
         self.at = at
         # The CRC-32 of the text after the placeholder so far.
-        self.sum = 0
-        # The table of the last row, and those that were begun so far.
+        self.checksum = 0
+        # The table of the last row, and all tables begun so far.
         self.table: str | None = None
         self.tables: set[str] = set()
-        # Whether all rows of each table came together so far, so that the text is a whole snapshot.
-        self.fit = True
+        # Whether the rows of each table were contiguous so far; otherwise the text is no valid snapshot.
+        self.is_contiguous = True
 
     def begin(self) -> str:
-        """The beginning of the file."""
+        """Return the beginning of the file."""
         return self.PLACEHOLDER + self._counted(f'{{"gen":{self.at[1]},"tables":{{')
 
     def rows(self, rows: list) -> str:
-        """The text of further rows."""
+        """Return the text of further rows."""
         parts = []
         for table, key, value in rows:
             if table != self.table:
-                # Rows of a table that was closed can't be added any more.
-                self.fit = self.fit and table not in self.tables
+                # A table whose JSON object was closed can't take further rows.
+                self.is_contiguous = self.is_contiguous and table not in self.tables
                 parts.append(f'{"}," if self.tables else ""}{json.dumps(table)}:{{')
                 self.table = table
                 self.tables.add(table)
@@ -143,46 +143,46 @@
         return self._counted(''.join(parts))
 
     def end(self) -> str:
-        """The end of the file."""
+        """Return the end of the file."""
         return self._counted(f'{"}" if self.tables else ""}}},"term":{self.at[0]}}}')
 
     def head(self) -> str:
-        """What takes the place of the placeholder."""
-        return f'{self.sum:08x} '
+        """Return the checksum that replaces PLACEHOLDER."""
+        return f'{self.checksum:08x} '
 
     def _counted(self, text: str) -> str:
-        self.sum = zlib.crc32(text.encode(), self.sum)
+        self.checksum = zlib.crc32(text.encode(), self.checksum)
         return text
 
 
 def version_name(version: Version) -> str:
-    """The name of the file with the rows of a version."""
+    """Return the name of the file with the rows of a version."""
     return f'{VERSION_PREFIX}{version[1]:016d}-{version[0]:08d}'
 
 
 def snapshot_name(version: Version) -> str:
-    """The name of the snapshot of a version."""
+    """Return the name of the snapshot file of a version."""
     return f'{SNAPSHOT_PREFIX}{version[1]:016d}-{version[0]:08d}'
 
 
 def version_of(name: str) -> Version:
-    """The version that the name of a file gives; raises errors.CorruptionError where it gives none."""
+    """Parse the version in a file's name; raises errors.CorruptionError if there is none."""
     try:
         _, generation, term = name.split('-')
         return int(term), int(generation)
     except ValueError as error:
-        raise errors.CorruptionError('not a name of ours', name) from error
+        raise errors.CorruptionError('the file name holds no version', name) from error
 
 
 def versions_of(names: typing.Iterable[str]) -> tuple[dict[str, Version], Version]:
-    """({name: version}, that of the newest snapshot)"""
+    """Return ({name: version} of all snapshots and version files, the version of the newest snapshot)."""
     versions = {name: version_of(name) for name in names if name.startswith(STATE_PREFIXES)}
     snapshots = [version for name, version in versions.items() if name.startswith(SNAPSHOT_PREFIX)]
     return versions, max(snapshots, default=NO_VERSION)
 
 
 def obsolete_files(names: typing.Iterable[str]) -> list[str]:
-    """The files of before the newest snapshot."""
+    """Return the names of the snapshots and version files that the newest snapshot supersedes, sorted."""
     versions, newest = versions_of(names)
     return sorted(
         name
@@ -192,45 +192,48 @@
 
 
 def load(files: dict[str, str]) -> LoadedFolder:
-    """Read the files of a data folder, {name: text}.
+    """Load the state from the files of a data folder, {name: text}.
 
-    Raises errors.CorruptionError where something that was acknowledged is
-    missing or damaged, errors.FormatError where a newer program wrote it.
+    Raises errors.CorruptionError if acknowledged data is missing or damaged,
+    errors.FormatError if a newer program wrote the folder.
     """
     if 'node' not in files:
-        # Without its id nothing else in the folder can be vouched for.
+        # Without the node's id the other files can't be trusted.
         if any(name.startswith(STATE_PREFIXES) or name == 'term' for name in files):
-            raise errors.CorruptionError('missing beside acknowledged files', 'node')
+            raise errors.CorruptionError('is missing, but files with acknowledged data exist', 'node')
         return LoadedFolder(None, '', 0, None, replica.Replica())
     node = load_node(files)
     term: TermFile = decode('term', files['term']) if 'term' in files else {'term': 0, 'vote': None}
     documents = load_documents(files)
     loaded = load_replica(documents)
     newest = max(documents.versions, default=documents.snapshot_version)
-    # A gap in the chain of versions means that something acknowledged is gone.
+    # A gap in the chain of versions means that acknowledged data was lost.
     has_gap = loaded.accepted < newest or (newest > NO_VERSION and 'term' not in files) or newest[0] > term['term']
     if has_gap:
-        raise errors.CorruptionError(f'chain ends at {loaded.accepted}, newest file is {newest}')
+        raise errors.CorruptionError(
+            f'the chain of versions ends at {loaded.accepted}, but the newest file has version {newest}'
+        )
     cluster = loaded.latest('meta', 'cluster') or ''
     return LoadedFolder(node['id'], cluster, term['term'], term['vote'], loaded)
 
 
 def load_node(files: dict[str, str]) -> NodeFile:
-    """The file `node`, if this program reads the folder's format."""
+    """Load the file `node`; raises errors.FormatError if the folder's format is newer than this program's."""
     node: NodeFile = decode('node', files['node'])
     level = node.get('format', 1)
     if level > FORMAT:
         raise errors.FormatError(
-            f'data folder has format {level}, this program reads up to {FORMAT}: start the program that wrote it'
+            f'data folder has format {level}, this program reads up to {FORMAT}: start the release that wrote it'
         )
     return node
 
 
 def load_documents(files: dict[str, str]) -> FolderDocuments:
-    """Read the newest snapshot and the versions after it.
+    """Load the newest snapshot and the versions after it.
 
-    Older files are not read: they are obsolete, and may be half written over.
-    Raises errors.CorruptionError where one is damaged or holds something else.
+    Older files are not read: they are obsolete, and may be partly overwritten.
+    Raises errors.CorruptionError if a file is damaged or holds another version
+    than its name says.
     """
     versions, newest_snapshot = versions_of(files)
     documents = {
@@ -239,15 +242,15 @@
         if version > newest_snapshot or name == snapshot_name(newest_snapshot)
     }
     for name, document in documents.items():
-        # A file that was written over may be whole and still be another's.
+        # A reused file may have a valid checksum and still hold the content of another file.
         if (document.get('term'), document.get('gen')) != versions[name]:
-            raise errors.CorruptionError('holds something else', name)
+            raise errors.CorruptionError('holds another version than its name says', name)
     snapshot: SnapshotFile | None = documents.pop(snapshot_name(newest_snapshot), None)
     return FolderDocuments(newest_snapshot, snapshot, {versions[name]: documents[name] for name in documents})
 
 
 def load_replica(documents: FolderDocuments) -> replica.Replica:
-    """The state that a snapshot and the chain of versions on it come to."""
+    """Build the state from a snapshot and the chain of versions that follows it."""
     loaded = replica.Replica()
     if documents.snapshot is not None and documents.snapshot_version > NO_VERSION:
         loaded.accept(documents.snapshot_version, tables=documents.snapshot['tables'])
@@ -260,8 +263,8 @@
         version = following[loaded.accepted]
         rows = documents.versions[version]['rows']
         routes_before = tuple(loaded.latest('meta', 'routes') or NO_VERSION)
-        loaded.loaded.append(replica.LoadedVersion(version, loaded.accepted, rows, routes_before))
+        loaded.loaded_versions.append(replica.LoadedVersion(version, loaded.accepted, rows, routes_before))
         loaded.accept(version, rows=rows)
-    # Folded into the tables, because nobody here knows any more which of the versions are committed.
+    # Applied to the tables, because the folder does not record which of the versions are committed.
     loaded.apply_pending()
     return loaded
--- a/zinctrail/consensus/transactions.py
+++ b/zinctrail/consensus/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions, in which a state version is computed, and views, which reads look at."""
+"""Transactions, which compute a state version, and views, on which reads run."""
 
 import dataclasses
 import datetime
@@ -9,22 +9,22 @@
 
 # The result of work: {'status': an HTTP status, ...}.
 Result = typing.Mapping[str, typing.Any]
-# Work on the state within a transaction, or on a view of it; it gives a result or raises CallError.
+# A function that runs in a transaction or on a view; it returns a result or raises CallError.
 Work = typing.Callable[['Transaction'], Result]
 
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """A change that waits for the next version."""
+    """A change that is queued for the next version."""
 
     work: Work
     callback: typing.Callable[[Result], None]
-    # Whether a caller waits for it, and not the leader itself.
+    # Whether a caller waits for the result; False for the leader's own changes.
     for_caller: bool = False
 
 
 class Undo(typing.NamedTuple):
-    """How a key stood in a transaction before a task wrote it."""
+    """The state of a key in a transaction before a task wrote it."""
 
     key: tuple[str, str]
     was_written: bool
@@ -32,7 +32,7 @@
 
 
 class Transaction:
-    """One version being computed: reads see what it wrote so far, and all that was accepted before it."""
+    """Computes one version: reads see the rows written so far, and all versions accepted before."""
 
     def __init__(self, state: replica.Replica, at: tuple[int, int], now: datetime.timedelta) -> None:
         self.replica = state
@@ -40,23 +40,23 @@
         # The number of the version within its term.
         self.generation = at[1]
         self.now = now
-        # What it wrote: {(table, key): value, None where the key is forgotten}.
+        # The rows written so far: {(table, key): value, None if the key is removed}.
         self.written: dict[tuple[str, str], typing.Any] = {}
-        # How to undo what the present task wrote, the oldest first; None between tasks.
+        # The undo log of the running task, the oldest entry first; None between tasks.
         self.undo: list[Undo] | None = None
 
     def get(self, table: str, key: str) -> typing.Any:
-        """The value of a key; None if there is none."""
+        """Return the value of a key; None if it does not exist."""
         if (table, key) in self.written:
             return self.written[table, key]
         return self.before(table, key)
 
     def before(self, table: str, key: str) -> typing.Any:
-        """The value before this version."""
+        """Return the value of a key before this version."""
         return self.replica.latest(table, key)
 
     def rows_before(self, table: str) -> dict[str, typing.Any]:
-        """The rows of a table before this version; a copy."""
+        """Return a copy of a table before this version; removed keys may be present as None."""
         return self.replica.full_table(table)
 
     def put(self, table: str, key: str, val: typing.Any) -> None:
@@ -67,11 +67,11 @@
             self.written[table, key] = val
 
     def drop(self, table: str, key: str) -> None:
-        """Forget a key."""
+        """Remove a key."""
         self.put(table, key, None)
 
     def items(self, table: str) -> dict[str, typing.Any]:
-        """The rows of a table; a copy."""
+        """Return a copy of a table, without removed keys."""
         rows = self.rows_before(table)
         for (changed_table, key), val in self.written.items():
             if changed_table == table:
@@ -79,7 +79,7 @@
         return {k: v for k, v in rows.items() if v is not None}
 
     def run(self, work: Work) -> Result:
-        """Run one task within the version; one that raises CallError is undone, and results in that error."""
+        """Run one task within the version; if it raises CallError, undo its writes and return the error's result."""
         self.undo = []
         try:
             return work(self)
@@ -94,25 +94,25 @@
             self.undo = None
 
     def rows(self) -> list:
-        """The rows that lead to this version: [[table, key, value or None]]."""
+        """Return the rows that this version changes: [[table, key, value or None]]."""
         return [[t, k, v] for (t, k), v in self.written.items() if self.before(t, k) != v]
 
 
 class View(Transaction):
-    """What is in force, for work that only reads."""
+    """The committed state, for work that only reads."""
 
     def before(self, table: str, key: str) -> typing.Any:
-        """The value that is in force."""
+        """Return the committed value of a key."""
         return self.replica.get(table, key)
 
     def rows_before(self, table: str) -> dict[str, typing.Any]:
-        """The rows that are in force; a copy."""
+        """Return a copy of the committed rows of a table."""
         return dict(self.replica.get(table))
 
 
 def add_member(txn: Transaction, node: str, row: dict) -> dict:
-    """Admit a member; another one at the same address is removed."""
-    # Whoever listened at its address before is gone, or this one could not listen there.
+    """Add a member; another member with the same address is removed."""
+    # The process that listened at the address before must have ended, or this one could not listen there.
     for other, old in txn.items('members').items():
         if other != node and old['addr'] == row['addr']:
             txn.drop('members', other)
--- a/zinctrail/consensus/version_receiver.py
+++ b/zinctrail/consensus/version_receiver.py
@@ -1,4 +1,4 @@
-"""Accepting versions of the replicated state from the leader, whole, as rows on a base, or in chunks."""
+"""Receives versions of the replicated state from the leader: as full tables, as rows on a base, or in chunks."""
 
 import typing
 
@@ -15,17 +15,17 @@
 
 
 class ReceivingMember(typing.Protocol):
-    """What receiving versions needs of the member that receives them."""
+    """The interface that VersionReceiver needs of its member."""
 
     role: str
     cluster: str
     term: int
-    # The leader that is followed.
+    # The leader that this member follows.
     leader: messages.LeaderRow | None
     replica: replica.Replica
 
     def follow(self, message: typing.Any) -> bool:
-        """Follow the sender of a leader's message; False if its term is older than ours."""
+        """Follow the sender of a leader's message; False if the message's term is older than this member's."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message to another process."""
@@ -34,25 +34,25 @@
         """Log a sentence about an event."""
 
     def accept(self, version: Version, base: Version | None, rows: Rows | None, tables: Tables | None) -> None:
-        """Accept a version: `rows` on `base`, or all of it in `tables`."""
+        """Accept a version: `rows` on `base`, or a full state in `tables`."""
 
     def chunk_received(self, incoming: chunked_transfer.Incoming, rows: Rows) -> None:
-        """Some rows were added to a transfer."""
+        """Handle the rows of a chunk that was added to a transfer."""
 
     def commit(self, version: Version) -> None:
-        """Apply all up to a version that was accepted before."""
+        """Commit the accepted versions up to and including `version`."""
 
 
 class VersionReceiver:
-    """Takes a leader's messages about versions, and answers whether they were accepted."""
+    """Handles a leader's messages about versions, and responds whether they were accepted."""
 
     def __init__(self, member: ReceivingMember) -> None:
         self.member = member
-        # The transfer in chunks that is being received.
+        # The chunked transfer that is being received.
         self.incoming: chunked_transfer.Incoming | None = None
 
     def on_publish(self, message: messages.Publish) -> None:
-        """Accept a version that fits what is accepted here, and apply what it says is committed."""
+        """Accept a version if it may follow the accepted one, and apply the commit that it carries."""
         member = self.member
         if not member.follow(message):
             self.refuse_version(message)
@@ -65,19 +65,19 @@
             member.cluster = member.cluster or codec.sender_of(message).cluster
             member.accept(version, base, message.rows, tables)
             is_accepted = True
-        self.answer_version(message, is_accepted)
+        self.respond(message, is_accepted)
         if message.committed:
             member.commit(message.committed)
 
     def refuse_version(self, message: messages.Publish | messages.Chunk) -> None:
-        """Answer a leader of an older term, which needs to know no more than our term."""
+        """Refuse a version of a leader of an older term; the response has only our term, which is all it needs."""
         self.member.send_message(
             codec.sender_of(message).address,
             messages.PublishResponse(term=self.member.term, version=message.version, is_accepted=False),
         )
 
-    def answer_version(self, message: messages.Publish | messages.Chunk, is_accepted: bool) -> None:
-        """Tell the leader whether its version was accepted, and what is accepted here now."""
+    def respond(self, message: messages.Publish | messages.Chunk, is_accepted: bool) -> None:
+        """Tell the leader whether its version was accepted, and which version is accepted here now."""
         self.member.send_message(
             codec.sender_of(message).address,
             messages.PublishResponse(
@@ -89,18 +89,18 @@
         )
 
     def on_chunk(self, message: messages.Chunk) -> None:
-        """Collect a version that comes in chunks, and accept it with the last of them."""
+        """Add a chunk to its transfer, and accept the version with the last chunk."""
         member = self.member
         if not member.follow(message):
             self.refuse_version(message)
             return
         version, base = message.version, message.base
         if member.replica.accepted == version:
-            self.answer_version(message, True)
+            self.respond(message, True)
             return
         if not member.replica.fits(version, base, base is None):
-            # Refused with the first chunk, because all others would be sent for nothing.
-            self.answer_version(message, False)
+            # Refused at the first chunk, because all further chunks would be sent in vain.
+            self.respond(message, False)
             return
         key = chunked_transfer.TransferKey(codec.sender_of(message).node, message.term, version, base)
         if self.incoming is None or self.incoming.key != key:
@@ -111,7 +111,7 @@
             member.chunk_received(incoming, message.rows)
             if message.digest is not None:
                 self.incoming = None
-                self.answer_version(message, self.accept_transfer(incoming, message, message.digest))
+                self.respond(message, self.accept_transfer(incoming, message, message.digest))
                 return
         member.send_message(
             codec.sender_of(message).address,
@@ -119,11 +119,13 @@
         )
 
     def accept_transfer(self, incoming: chunked_transfer.Incoming, message: messages.Chunk, digest: str) -> bool:
-        """Whether a received transfer is whole and fits what is accepted here; it is accepted then."""
+        """Accept a received transfer if its digest matches and it may follow the accepted version."""
         version, base = incoming.key.version, incoming.key.base
         if not incoming.matches(digest):
             self.member.log(
-                f'Version {version} came with another digest than its sender told.', 'digest', at=list(version)
+                f'Version {version} refused: its rows have another digest than its sender reported.',
+                'digest',
+                at=list(version),
             )
             return False
         if not self.member.replica.fits(version, base, base is None):
@@ -133,7 +135,7 @@
         return True
 
     def drop_foreign_transfer(self) -> None:
-        """Forget a transfer of another leader, or of another term, than the present one."""
+        """Drop a transfer from a leader other than the present one, or of another term."""
         if self.incoming is None:
             return
         key = self.incoming.key
@@ -142,7 +144,7 @@
             self.incoming = None
 
     def on_commit(self, message: messages.Commit) -> None:
-        """Apply what is committed; voters answer with their next heartbeat, which is soon enough."""
+        """Apply a commit and acknowledge it; voters acknowledge with their next heartbeat response, soon enough."""
         if not self.member.follow(message):
             return
         self.member.commit(message.version)
--- a/zinctrail/runtime/__init__.py
+++ b/zinctrail/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every state machine and its host build on: effects, timers, durations, settings, logs and metrics."""
+"""The base of every state machine and its host: effects, timers, durations, settings, logs and metrics."""
