--- a/zinctrail/errors.py
+++ b/zinctrail/errors.py
@@ -1,10 +1,10 @@
-"""The one tree of exceptions. Each layer raises its own branch and translates those of the layers below it.
+"""The exception hierarchy. Each layer raises its own branch, and translates exceptions of the layers below it.
 
     ZinctrailError
       SettingsError             flags, flag files, programs' arguments       (cli, transport.program)
       DiskError                 the data folder                              (transport.disk)
         CorruptionError         acknowledged data is missing or unreadable   (consensus.storage)
-        FormatError             written by a newer program                   (consensus.storage)
+        FormatError             the folder is written by a newer program     (consensus.storage)
       CallError                 a call that is refused, with an HTTP status  (control, directory)
         BadRequestError         400
         NotFoundError           404
@@ -13,9 +13,10 @@
         UnavailableError        503
       RequestError              the client library                           (client)
         CoordinationError       a coordination call that was refused or whose result is unknown
+      FrameError                an invalid frame from another process        (consensus.codec)
 
-Modules that raise an error of their own derive it from ZinctrailError and
-declare it beside their code (control.policies, fleet.recorded_day).
+Some modules declare exceptions of their own, derived from ZinctrailError, beside
+their code (control.policies, fleet.recorded_day).
 """
 
 
@@ -24,13 +25,13 @@
 
 
 class SettingsError(ZinctrailError):
-    """A flag, a flag file's value or a program's argument is unusable; the text is for the operator."""
+    """A flag, a value in a flag file or a program's argument is invalid; the text is for the operator."""
 
 
 class DiskError(ZinctrailError):
-    """The data folder can not be used, or a write did not reach the disk.
+    """The data folder can not be used, or a write to it failed.
 
-    `file` names the file within the data folder; '' where the fault is of the folder as a whole.
+    `file` names the file within the data folder; '' if the error concerns the folder itself.
     """
 
     def __init__(self, reason: str, file: str = ''):
@@ -40,7 +41,7 @@
 
 
 class CorruptionError(DiskError):
-    """Data that was once acknowledged can no longer be read back whole."""
+    """Acknowledged data is missing from the data folder or can not be read."""
 
 
 class FormatError(DiskError):
@@ -51,7 +52,7 @@
     """A call over HTTP, or an operation on the replicated state, is refused.
 
     `status` is the HTTP status that the caller gets; `details` are further
-    fields of the JSON body, as `retry_ms` (milliseconds until a retry may succeed).
+    fields of the JSON body, such as `retry_ms` (milliseconds until a retry may succeed).
     """
 
     def __init__(self, status: int, text: str, **details):
@@ -65,7 +66,7 @@
 
 
 class BadRequestError(CallError):
-    """400: the call is malformed; the same call never succeeds."""
+    """400: the call is malformed, so a retry of the same call never succeeds."""
 
     def __init__(self, text: str, **details):
         super().__init__(400, text, **details)
@@ -79,36 +80,36 @@
 
 
 class ConflictError(CallError):
-    """409: the call contradicts the present state: another owner, another revision, another base."""
+    """409: the call conflicts with the present state: another owner, another revision, another base."""
 
     def __init__(self, text: str, **details):
         super().__init__(409, text, **details)
 
 
 class GoneError(CallError):
-    """410: what the call refers to existed and was removed for good: an incarnation, a part of the history."""
+    """410: the call refers to something that was removed permanently: an incarnation, a part of the history."""
 
     def __init__(self, text: str, **details):
         super().__init__(410, text, **details)
 
 
 class UnavailableError(CallError):
-    """503: the call can not be served now; `retry_ms` in the details says when to come back."""
+    """503: the call can not be served now; `retry_ms` in the details says when to retry."""
 
     def __init__(self, text: str, **details):
         super().__init__(503, text, **details)
 
 
 class RequestError(ZinctrailError):
-    """The client library could not bring a call to a successful result."""
+    """A call of the client library did not succeed."""
 
 
 class CoordinationError(RequestError):
     """A coordination call was refused, or its result is unknown.
 
-    `status` is the HTTP status: 0 where nobody answered (the result is
-    unknown), 504 where the control plane itself does not know it. `document` is
-    the JSON body of the response.
+    `status` is the HTTP status: 0 without a response (the result is unknown),
+    504 if the control plane itself does not know the result. `document` is the
+    JSON body of the response.
     """
 
     def __init__(self, status: int, document: dict):
@@ -118,7 +119,7 @@
 
 
 class FrameError(ZinctrailError):
-    """A frame from another process can not be used; `kind` and `field` name what is wrong, where they are known."""
+    """A frame from another process is invalid; `kind` and `field` name its kind and the field at fault, if known."""
 
     def __init__(self, text: str, kind: str = '', field: str = ''):
         super().__init__(text)
--- a/zinctrail/runtime/durations.py
+++ b/zinctrail/runtime/durations.py
@@ -1,4 +1,4 @@
-"""Durations are datetime.timedelta; flags, JSON fields and headers carry them in milliseconds."""
+"""Conversions of durations: datetime.timedelta in code, milliseconds in flags, JSON fields and headers."""
 
 import datetime
 
@@ -7,10 +7,10 @@
 
 
 def ms(count: float) -> datetime.timedelta:
-    """A duration of so many milliseconds."""
+    """Return a duration of `count` milliseconds."""
     return datetime.timedelta(milliseconds=count)
 
 
 def to_ms(duration: datetime.timedelta) -> int:
-    """The whole milliseconds of a duration, rounded towards zero."""
+    """Return a duration in milliseconds, rounded towards zero."""
     return int(duration / _MILLISECOND)
--- a/zinctrail/runtime/effects.py
+++ b/zinctrail/runtime/effects.py
@@ -1,4 +1,4 @@
-"""What a state machine returns for its host to carry out, and the HTTP calls that it is given.
+"""The effects that a state machine returns for its host to carry out, and the HTTP requests and results it is fed.
 
 A state machine does no I/O. It takes one input at a time and returns effects in
 order; a host (transport.host, or simulation.node) carries them out in that
@@ -15,12 +15,12 @@
 class Send:
     """Send a frame to another process.
 
-    A frame to several processes is one `frame` object, encoded once, so nobody changes it afterwards.
+    A frame to several processes is one `frame` object, encoded once, so it must not be modified afterwards.
     """
 
     address: str
     frame: dict
-    # Whether the receiver reads packed frames.
+    # Whether the frame may be compressed, because the receiver reads compressed frames.
     may_compress: bool = False
 
 
@@ -31,13 +31,13 @@
     name: str
     text: str
     obsolete_files: tuple = ()
-    # Whether a reader may still have the obsolete files open: then they may be removed but not overwritten.
+    # Whether a reader may still have the obsolete files open; they are then removed, but not overwritten.
     may_be_open: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class WriteChunk:
-    """Append `text` to file `name`, which exists only from its CommitChunks on; `first` starts it anew."""
+    """Append `text` to file `name`, which does not exist until its CommitChunks; with `first`, start from empty."""
 
     name: str
     text: str
@@ -46,20 +46,20 @@
 
 @dataclasses.dataclass(slots=True)
 class CommitChunks:
-    """Overwrite the beginning of the chunks of `name` with `head`, make the file durable, then remove `obsolete_files`."""
+    """Overwrite the first bytes of the chunks of `name` with `head`, make it durable, then remove `obsolete_files`."""
 
     name: str
     head: str
     obsolete_files: tuple = ()
 
 
-# The effects that the disk carries out.
+# The effects that write to the disk.
 DISK_EFFECTS = (Write, WriteChunk, CommitChunks)
 
 
 @dataclasses.dataclass(slots=True)
 class HttpResponse:
-    """Answer the HTTP call that was fed with this id."""
+    """Respond to the HTTP request that was fed with `request_id`."""
 
     request_id: typing.Any
     status: int
@@ -69,13 +69,14 @@
 
 @dataclasses.dataclass(slots=True)
 class HttpFetch:
-    """Make an HTTP call to one incarnation of an endpoint; the host feeds `fetched` with an HttpResult.
+    """Send an HTTP request to one incarnation of an endpoint; the host feeds `fetched` with an HttpResult.
 
-    Before the first request goes over a new connection, the host asks the other
-    side which incarnation it is: a newcomer on the address must not get any.
+    Before the first request on a new connection, the host asks the other side
+    for its incarnation: a new process at the same address must not get requests
+    that are meant for the previous one.
     """
 
-    # The id with which the result is fed.
+    # The id that the result is fed with.
     fetch_id: int
     address: str
     # The incarnation that the request is meant for.
@@ -84,19 +85,20 @@
     path: str
     headers: dict
     body: bytes
-    # How long to wait for the response.
+    # The timeout of the response.
     wait: datetime.timedelta
-    # Whether the endpoint links no library of ours: it is not asked for its incarnation, its id goes with the request.
+    # Whether the endpoint does not use our library: it is not asked for its incarnation, and its id is sent with the
+    # request instead.
     plain: bool = False
-    # Whether it may run at most once: then only a connection that was in use a moment ago will do.
+    # Whether the request may run at most once; only a connection that was in use a moment ago is then used for it.
     at_most_once: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class CancelFetch:
-    """Give an HttpFetch up: its connection is closed, so that the endpoint may drop the work.
+    """Cancel an HttpFetch: its connection is closed, so that the endpoint may stop its work.
 
-    No result is fed any more, unless it was under way to the state machine already.
+    No result is fed any more, unless it was already on its way to the state machine.
     """
 
     fetch_id: int
@@ -104,28 +106,28 @@
 
 @dataclasses.dataclass(slots=True)
 class HttpResult:
-    """What came of an HttpFetch."""
+    """The result of an HttpFetch."""
 
-    # 0 where there was no response.
+    # The status of the response; 0 without a response.
     status: int = 0
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b''
-    # False only if it is certain that no byte was sent.
+    # False only if it is certain that no byte of the request was sent.
     sent: bool = True
-    # What went wrong; '' where nothing did.
+    # A description of the error; '' if there was none.
     fault: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class CloseConnections:
-    """Close the connections that are kept for an incarnation."""
+    """Close the idle connections to an incarnation."""
 
     incarnation: str
 
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """What a client of open traffic may send, and how long it may take or stay idle."""
+    """Limits on the requests of open-traffic clients: their sizes, and the time to send them or stay idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 64 << 20
@@ -135,14 +137,14 @@
 
 @dataclasses.dataclass(slots=True)
 class DrainOpenTraffic:
-    """Close each connection of open traffic after its next response; with `stops_listening`, accept none any more."""
+    """Close each open-traffic connection after its next response; with `stops_listening`, accept no new ones."""
 
     stops_listening: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Log:
-    """Log a sentence with fields (runtime.logs)."""
+    """Log a sentence with fields; runtime.logs formats them."""
 
     text: str
     fields: dict = dataclasses.field(default_factory=dict)
@@ -150,7 +152,7 @@
 
 @dataclasses.dataclass(slots=True)
 class NotifyDurable:
-    """Feed `done` with `name` once every Write before this effect is durable."""
+    """Feed `done` with `name` once all writes before this effect are durable."""
 
     name: str
 
@@ -164,7 +166,7 @@
 
 @dataclasses.dataclass(slots=True)
 class HttpRequest:
-    """An HTTP call as state machines see it; header names are in lower case."""
+    """An HTTP request that is fed to a state machine; header names are in lower case."""
 
     method: str
     path: str
--- a/zinctrail/runtime/log_trace.py
+++ b/zinctrail/runtime/log_trace.py
@@ -1,7 +1,7 @@
-"""Follows one request, or the elections, through the log lines of many processes.
+"""Traces one request, or the elections, through the log lines of many processes.
 
-Lines are ordered by the time in each, which is by the clock of the machine that
-wrote it: as far as two clocks differ, so does the order between their lines.
+Lines are ordered by their timestamps, each by the clock of the machine that
+wrote it; clock skew between machines may put their lines out of order.
 """
 
 import collections
@@ -9,28 +9,28 @@
 
 import zinctrail.runtime.logs as logs
 
-# Events of elections, as the lines' field `event` names them.
+# The values of the field `event` in lines about elections.
 ELECTION_EVENTS = ('stand', 'vote', 'lead', 'follow', 'down', 'lost', 'successor')
 
 
 def parse_records(lines: typing.Iterable[str]) -> list[logs.Record]:
-    """The records of those lines that are log lines."""
+    """Parse the lines that are log lines; skip the others."""
     return [record for record in map(logs.parse, lines) if record is not None]
 
 
 def timestamp(record: logs.Record) -> str:
-    """The time of a record without the year, which one of the two formats lacks; sorts as text."""
+    """Return the time of a record without the year, which text lines lack; it can be compared as text."""
     at = record.get('at', '')
     return (at[5:] if at[4:5] == '-' else at).rstrip('Z')
 
 
 def time_of_day(record: logs.Record) -> str:
-    """Hours, minutes, seconds and milliseconds of a record."""
+    """Return the time of a record as hours, minutes, seconds and milliseconds."""
     return timestamp(record).partition('T')[2][:12]
 
 
 def request_lines(records: list[logs.Record], request_id: str) -> list[str]:
-    """What the records say about the request of this id, a line each, in order."""
+    """Return a line for each record about the request with this id, in order of time."""
     of_request = (record for record in records if record.get('id') == request_id)
     return [
         f'{time_of_day(record)}  {record.get("by", "?")}  {_request_event(record)}'
@@ -53,7 +53,7 @@
 
 
 def node_addresses(records: list[logs.Record]) -> dict[str, str]:
-    """{node: address}, as processes log them at their start."""
+    """Return {node: address}, as processes log them at their start."""
     return {
         record['node']: record['by']
         for record in records
@@ -62,7 +62,7 @@
 
 
 def election_lines(records: list[logs.Record], term: int | None = None) -> list[str]:
-    """Lines about each term, or about one: who stood and why, who voted for whom, who led, and how it ended."""
+    """Return lines about each term, or about one: its candidates and their reasons, votes, leader, and how it ended."""
     addresses = node_addresses(records)
     by_term = collections.defaultdict(list)
     for record in records:
@@ -76,7 +76,7 @@
 
 
 def _term_lines(records: list[logs.Record], addresses: dict[str, str]) -> list[str]:
-    """The events of one term in order, then who followed and who lost the leader, each summed up."""
+    """Return the events of one term in order of time, then summaries of who followed and who lost the leader."""
     lines, follows, losses = [], [], collections.defaultdict(list)
     for record in records:
         if record['event'] == 'follow':
@@ -99,18 +99,18 @@
 
     event = record['event']
     if event == 'stand':
-        return f'stands, try {record.get("tries", "?")}: {record.get("why", "?")}'
+        return f'starts an election, attempt {record.get("tries", "?")}: {record.get("why", "?")}'
     if event == 'vote':
         return f'votes for {name(record.get("node"))}'
     if event == 'lead':
         return 'leads, with the votes of ' + ', '.join(name(voter) for voter in record.get('votes', '').split(','))
     if event == 'down':
         return f'steps down: {record.get("why", "?")}'
-    return f'goes, and names {name(record.get("node"))}'
+    return f'shuts down, and names its successor {name(record.get("node"))}'
 
 
 def _count_and_times(records: list[logs.Record], reason: str = '') -> str:
-    """How many processes the records are of, and when the first and the last were."""
+    """Summarize records: the number of processes, and the times of the first and the last record."""
     count = len({record.get('by') for record in records})
     return (
         f'{count}{": " + reason if reason else ""}, the first at {time_of_day(records[0])},'
--- a/zinctrail/runtime/logs.py
+++ b/zinctrail/runtime/logs.py
@@ -1,10 +1,10 @@
-"""Log lines: a sentence for people, then fields to follow one thing through many processes.
+"""Log lines: a sentence for people, then fields, by which one request or election can be followed across processes.
 
   text   core: Leads term 5. | event=lead term=5 votes=1f..,9c.. by=10.0.0.1:7000
   json   {"at": "2026-01-05T10:00:00.125Z", "level": "info", "text": "core: Leads term 5.", "event": "lead", ...}
 
-`parse` reads both. Values with blanks, quotes or commas are JSON strings; the
-items of lists are separated by commas.
+`parse` reads both formats. In text lines, values with blanks, quotes or commas
+are JSON strings; the items of lists are separated by commas.
 """
 
 import datetime
@@ -16,20 +16,20 @@
 FORMATS = ('text', 'json')
 # Between the sentence and the fields.
 SEPARATOR = ' | '
-# Values that need no quotes.
+# Matches values that need no quotes.
 BARE_VALUE = re.compile(r'[A-Za-z0-9_.:/~+-]+\Z')
 FIELD = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
-# What absl begins its lines with: level, day and time; log collectors may put words of their own before it.
+# The prefix of absl's lines: level, date and time. Log collectors may put text of their own before it.
 ABSL_PREFIX = re.compile(r'([IWEF])(\d\d)(\d\d) (\d\d:\d\d:\d\d\.\d+) +\d+ [^\]]*\] (.*)')
 LEVELS = {'I': 'info', 'W': 'warning', 'E': 'error', 'F': 'critical'}
 JSON_START = '{"at": '
 
-# A line that was read: 'at', 'level', 'text' and the fields, all as text.
+# A parsed line: 'at', 'level', 'text' and the fields, all as text.
 Record = dict[str, str]
 
 
 def encode_value(value) -> str:
-    """A field's value as it stands in a text line; the items of sets are sorted."""
+    """Format a field's value for a text line; the items of sets are sorted."""
     if isinstance(value, (list, tuple, set, frozenset)):
         items = [str(item) for item in (sorted(value) if isinstance(value, (set, frozenset)) else value)]
         joined = ','.join(items)
@@ -39,21 +39,21 @@
 
 
 def text_line(text: str, fields: dict) -> str:
-    """A sentence with its fields, without level and time."""
+    """Format a text line: a sentence with its fields, without level and time."""
     if not fields:
         return text
     return text + SEPARATOR + ' '.join(f'{name}={encode_value(value)}' for name, value in fields.items())
 
 
 def json_line(seconds: float, level: str, text: str, fields: dict) -> str:
-    """A line of JSON; `seconds` since 1970 by the wall clock."""
+    """Format a JSON line; `seconds` is the wall-clock time since 1970."""
     stamp = datetime.datetime.fromtimestamp(seconds, datetime.UTC).isoformat(timespec='milliseconds')
     fields = {name: sorted(value) if isinstance(value, (set, frozenset)) else value for name, value in fields.items()}
     return json.dumps({'at': stamp.replace('+00:00', 'Z'), 'level': level, 'text': text, **fields}, default=str)
 
 
 def parse(line: str) -> Record | None:
-    """The record of a line of either form; None for any other line."""
+    """Parse a line of either format; None for any other line."""
     start = line.find(JSON_START)
     return _parse_json(line[start:]) if start >= 0 else _parse_text(line.rstrip('\n'))
 
@@ -96,9 +96,9 @@
 
 
 class LineFormatter(logging.Formatter):
-    """Lays out log records in one of FORMATS.
+    """Formats log records in one of FORMATS.
 
-    `inner` formats a text line's beginning; `common_fields` are added to every line that has fields.
+    `inner` formats the part of a text line before its fields; `common_fields` are added to every line that has fields.
     """
 
     def __init__(self, form: str, inner: logging.Formatter, common_fields: typing.Mapping[str, str] | None = None):
@@ -108,7 +108,7 @@
         self.common_fields = dict(common_fields or {})
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line of a record, whose fields are its attribute `fields`."""
+        """Format a record; its fields are in its attribute `fields`."""
         fields = getattr(record, 'fields', None)
         if self.form == 'json':
             text = record.getMessage()
@@ -120,5 +120,5 @@
 
 
 def quiet_libraries():
-    """Keep the libraries' routine messages out of the log; their warnings stay."""
+    """Suppress the routine messages of libraries in the log; their warnings are still logged."""
     logging.getLogger('twisted').setLevel(logging.WARNING)
--- a/zinctrail/runtime/metrics.py
+++ b/zinctrail/runtime/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of a process, as plain rows; transport.metrics_page lays them out for Prometheus.
+"""Metrics of a process, independent of a format; transport.metrics_page formats them for Prometheus.
 
-Rows are made when somebody asks for them; between scrapes the process only counts.
+Metrics are built only when they are scraped; between scrapes the process only counts.
 """
 
 import typing
@@ -14,7 +14,7 @@
 class Histogram(typing.NamedTuple):
     """The value of a histogram's sample."""
 
-    # How many observations fell into each bucket, and above all of them.
+    # The number of observations in each bucket, the last one above all bounds.
     counts: list[int]
     # The upper bounds of the buckets, in seconds.
     bounds_s: list[float]
@@ -33,20 +33,20 @@
 
 
 def counter(name: str, help_text: str, value: float) -> Metric:
-    """A number that only rises, without labels."""
+    """Return a counter without labels."""
     return Metric(COUNTER, name, help_text, [({}, value)])
 
 
 def gauge(name: str, help_text: str, value: float) -> Metric:
-    """A number that rises and falls, without labels."""
+    """Return a gauge without labels."""
     return Metric(GAUGE, name, help_text, [({}, value)])
 
 
 def histogram(name: str, help_text: str, value: Histogram) -> Metric:
-    """Observed durations in buckets, without labels."""
+    """Return a histogram of durations without labels."""
     return Metric(HISTOGRAM, name, help_text, [({}, value)])
 
 
 def by_label(kind: str, name: str, help_text: str, label: str, values: typing.Mapping[str, float]) -> Metric:
-    """A counter or gauge with a sample for each value of a label."""
+    """Return a counter or gauge with a sample for each value of a label."""
     return Metric(kind, name, help_text, [({label: key}, value) for key, value in sorted(values.items())])
--- a/zinctrail/runtime/parsing.py
+++ b/zinctrail/runtime/parsing.py
@@ -1,10 +1,10 @@
-"""Small checks of text that comes from outside."""
+"""Validation of text from outside the process."""
 
 PORT_LIMIT = 65536
 
 
 def is_whole(text: str) -> bool:
-    """Whether `text` is a whole number in ASCII digits; "\u00b2" is a digit to str.isdigit, and no number."""
+    """Whether `text` is a whole number in ASCII digits; str.isdigit alone also accepts "\u00b2", which is none."""
     return text.isascii() and text.isdigit()
 
 
--- a/zinctrail/runtime/state_machine.py
+++ b/zinctrail/runtime/state_machine.py
@@ -1,4 +1,4 @@
-"""The base of every state machine: an input comes in, effects come out, named timers in between, and no I/O."""
+"""The base class of all state machines: each input yields effects; there are named timers, and no I/O."""
 
 import datetime
 import random
@@ -17,14 +17,14 @@
     same inputs always give the same effects.
     """
 
-    # What the process is called in its log lines.
+    # The name of the process in its log lines.
     prefix = 'zt'
 
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.now = durations.ZERO
         self.out: list = []
-        # {name: when it fires}
+        # {name: the time when the timer fires}
         self.timers: dict[str, datetime.timedelta] = {}
         self.request_sampler = request_sampling.RequestSampler()
 
@@ -37,7 +37,7 @@
         return out
 
     def next_timer(self) -> datetime.timedelta | None:
-        """When the host must feed `wake` next; None if no timer is set."""
+        """Return the time at which the host must feed `wake` next; None if no timer is set."""
         return min(self.timers.values(), default=None)
 
     def on_wake(self):
@@ -49,13 +49,13 @@
                 getattr(self, 'timer_' + name)()
 
     def set_timer(self, name: str, delay: datetime.timedelta):
-        """Set a timer, or move it if it is set already."""
+        """Set a timer, or reset it if it is set already."""
         self.timers[name] = self.now + delay
 
     def send(self, address: str, frame: dict, may_compress: bool = False):
-        """Send a frame to another process; `may_compress` says whether that one reads packed frames."""
+        """Send a frame to another process; `may_compress` says whether that process reads compressed frames."""
         self.out.append(effects.Send(address, frame, may_compress))
 
     def log(self, text: str, event: str = '', **fields):
-        """Log a sentence; `event` names the kind of event, `fields` are what one would search for."""
+        """Log a sentence; `event` names the kind of event, and `fields` are values to search the logs for."""
         self.out.append(effects.Log(f'{self.prefix}: {text}', {'event': event, **fields} if event else fields))
