--- a/features/steps/snapshots_large_state_steps.py
+++ b/features/steps/snapshots_large_state_steps.py
@@ -90,7 +90,7 @@
 def files_passed_over_are_gone(context, count: int):
     superseded_files = set(context.voter.persistence.superseded_files)
     run_step(
-        context, lambda voter: voter.persistence.write_identity(voter.persistence.superseded_files, may_be_open=True)
+        context, lambda voter: voter.persistence.write_identity(voter.persistence.superseded_files, may_be_read=True)
     )
     for _ in range(count):
         run_step(
--- a/zinctrail/consensus/data_folder.py
+++ b/zinctrail/consensus/data_folder.py
@@ -24,16 +24,16 @@
         self.files = set(files)
 
     def write(
-        self, name: str, document: typing.Any, obsolete: typing.Iterable[str] = (), may_be_open: bool = False
+        self, name: str, document: typing.Any, obsolete: typing.Iterable[str] = (), may_be_read: bool = False
     ) -> int:
         """Write a file durably, then remove the `obsolete` ones; returns the length of its text.
 
-        With `may_be_open` a reader may have the obsolete files open, so they are removed but not overwritten.
+        With `may_be_read` a reader may have the obsolete files open, so they are removed but not overwritten.
         """
         obsolete = tuple(obsolete)
         text = storage.encode(document)
         self._note(name, obsolete)
-        self.voter.out.append(effects.Write(name, text, obsolete, may_be_open))
+        self.voter.out.append(effects.Write(name, text, obsolete, may_be_read))
         return len(text)
 
     def write_chunk(self, name: str, text: str, first: bool = False) -> None:
--- a/zinctrail/consensus/persistence.py
+++ b/zinctrail/consensus/persistence.py
@@ -78,11 +78,11 @@
         were more frequent than snapshots.
         """
         obsolete = storage.obsolete_files(self.folder.files) + self.superseded_files
-        self.write_identity(obsolete, may_be_open=bool(self.superseded_files))
+        self.write_identity(obsolete, may_be_read=bool(self.superseded_files))
 
-    def write_identity(self, obsolete: typing.Iterable[str] = (), may_be_open: bool = False) -> None:
+    def write_identity(self, obsolete: typing.Iterable[str] = (), may_be_read: bool = False) -> None:
         """Write the file `node`, then remove the `obsolete` files."""
-        self.folder.write('node', self.voter.identity(), obsolete, may_be_open)
+        self.folder.write('node', self.voter.identity(), obsolete, may_be_read)
 
     def write_term(self) -> None:
         """Write the term and the vote in it."""
@@ -127,7 +127,7 @@
         """
         replaced = self.segment.take_replaced_files()
         document = self.segment.document(version)
-        size = self.folder.write(storage.version_name(version), document, replaced, may_be_open=True)
+        size = self.folder.write(storage.version_name(version), document, replaced, may_be_read=True)
         self.version_bytes = self.closed_bytes + size
         if size >= SEGMENT_BYTES:
             self.closed_bytes = self.version_bytes
--- a/zinctrail/runtime/effects.py
+++ b/zinctrail/runtime/effects.py
@@ -32,7 +32,7 @@
     text: str
     obsolete_files: tuple = ()
     # Whether a reader may still have the obsolete files open; they are then removed, but not overwritten.
-    may_be_open: bool = False
+    may_be_read: bool = False
 
 
 @dataclasses.dataclass(slots=True)
--- a/zinctrail/simulation/disk.py
+++ b/zinctrail/simulation/disk.py
@@ -42,7 +42,7 @@
             content = effect.head + ''.join(self.chunks.pop(effect.name))[len(effect.head) :]
             self.write(effect.name, content, effect.obsolete_files)
         else:
-            self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_open)
+            self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_read)
 
     def write_chunk(self, name: str, text: str, is_first: bool) -> None:
         """Append a chunk to a file that is being written."""
--- a/zinctrail/simulation/fingerprints.py
+++ b/zinctrail/simulation/fingerprints.py
@@ -34,7 +34,7 @@
     if isinstance(effect, effects.Send):
         return json.dumps(['send', effect.address, effect.frame, effect.may_compress])
     if isinstance(effect, effects.Write):
-        return json.dumps(['write', effect.name, effect.text, effect.obsolete_files, effect.may_be_open])
+        return json.dumps(['write', effect.name, effect.text, effect.obsolete_files, effect.may_be_read])
     if isinstance(effect, effects.WriteChunk):
         return json.dumps(['part', effect.name, effect.text, effect.first])
     if isinstance(effect, effects.CommitChunks):
--- a/zinctrail/transport/disk.py
+++ b/zinctrail/transport/disk.py
@@ -137,7 +137,7 @@
         elif isinstance(effect, effects.CommitChunks):
             self.write_end(effect.name, effect.head, effect.obsolete_files)
         else:
-            self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_open)
+            self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_read)
 
     def write_part(self, name: str, text: str, first: bool) -> None:
         """Append a part to a file that is written aside; the first one starts it anew.
