--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -263,7 +263,7 @@
             'f': 'master',
             'a': '10.0.0.1:1000',
             'term': 3,
-            'at': content.at,
+            'at': content.version,
             'base': content.base,
             'number': number,
             'rows': rows or content.chunk(number),
--- a/zinctrail/consensus/chunked_transfer.py
+++ b/zinctrail/consensus/chunked_transfer.py
@@ -34,16 +34,16 @@
 
 
 class Content:
-    """The content of a transfer: the rows that change version `base`, or an empty state, to version `at`.
+    """The content of a transfer: the rows that change version `base`, or an empty state, to `version`.
 
     Rows are never modified in place, so the content stays unchanged while the
     state advances. Chunks are cut on demand and shared by all receivers.
     """
 
     def __init__(
-        self, at: replica.Version, base: replica.Version | None, rows: collections.abc.Iterable[replica.Row]
+        self, version: replica.Version, base: replica.Version | None, rows: collections.abc.Iterable[replica.Row]
     ) -> None:
-        self.at = at
+        self.version = version
         self.base = base
         # The chunks cut so far.
         self.chunks: list[replica.Rows] = []
@@ -56,7 +56,7 @@
         self._next_row = next(self._rows, None)
 
     @classmethod
-    def full_state(cls, at: replica.Version, tables: replica.Tables) -> 'Content':
+    def full_state(cls, version: replica.Version, tables: replica.Tables) -> 'Content':
         """Return the content of a transfer of the full state."""
         rows = (
             [table, key, value]
@@ -64,7 +64,7 @@
             for key, value in values.items()
             if value is not None
         )
-        return cls(at, None, rows)
+        return cls(version, None, rows)
 
     def chunk(self, number: int) -> replica.Rows | None:
         """Return the rows of a chunk; None if there are fewer chunks."""
--- a/zinctrail/consensus/data_folder.py
+++ b/zinctrail/consensus/data_folder.py
@@ -28,7 +28,7 @@
     ) -> int:
         """Write a file durably, then remove the `obsolete` ones; returns the length of its text.
 
-        With `may_be_read` a reader may have the obsolete files open, so they are removed but not overwritten.
+        With `may_be_read` a loader may still read the obsolete files, so they are removed but not overwritten.
         """
         obsolete = tuple(obsolete)
         text = storage.encode(document)
--- a/zinctrail/consensus/persistence.py
+++ b/zinctrail/consensus/persistence.py
@@ -52,7 +52,7 @@
         self.voter = voter
         self.folder = folder
         self.snapshots = snapshots
-        # Whether the last write failed and has not been made up for.
+        # Whether a write failed, and the durable state has not been rewritten since.
         self.disk_failed = False
         loaded = voter.replica
         chain = [storage.version_name(version.version) for version in loaded.loaded_versions]
@@ -121,9 +121,9 @@
     def _write_segment(self, version: storage.Version) -> None:
         """Merge the files of many versions into one, if the state is too large for a snapshot.
 
-        The base of the segment is that of its first version, so a reader skips
-        the files that it replaces. Because a reader may still have them open,
-        they are removed one by one, and not overwritten.
+        The base of the segment is that of its first version, so a loader builds
+        no state from the files that it replaces. The loader still reads them
+        while they exist, so they are removed one by one, and not overwritten.
         """
         replaced = self.segment.take_replaced_files()
         document = self.segment.document(version)
--- a/zinctrail/consensus/replica.py
+++ b/zinctrail/consensus/replica.py
@@ -98,36 +98,36 @@
             apply_rows(tables, routes_of(rows) if routes else rows)
         return tables
 
-    def fits(self, at: Version, base: Version | None, is_full: bool) -> bool:
+    def fits(self, version: Version, base: Version | None, is_full: bool) -> bool:
         """Whether a version, which builds on `base` or is a full state, may follow the accepted version.
 
         Versions are compared as (term, generation), so a receiver never goes back to an older term, not even to one
         with the same generation.
         """
-        return at > self.accepted and (is_full or base == self.accepted)
+        return version > self.accepted and (is_full or base == self.accepted)
 
-    def accept(self, at: Version, rows: Rows | None = None, tables: Tables | None = None) -> None:
+    def accept(self, version: Version, rows: Rows | None = None, tables: Tables | None = None) -> None:
         """Accept a version: `rows` that build on the accepted version, or a full state in `tables`."""
         if tables is not None:
             self.tables = tables
             self.pending, self.pending_values = [], {}
-            self.tables_version = at
+            self.tables_version = version
             self.next_commit_is_full = True
         else:
             rows = rows or []
-            self.pending.append((at, rows))
+            self.pending.append((version, rows))
             self._record_pending(rows)
-        self.accepted = at
+        self.accepted = version
 
     def _record_pending(self, rows: Rows) -> None:
         """Update `pending_values` with rows."""
         for table, key, val in rows:
             self.pending_values.setdefault(table, {})[key] = val
 
-    def apply_pending(self, at: Version | None = None) -> Rows:
-        """Apply the pending versions up to and including `at`, or all of them, to the tables; return their rows."""
+    def apply_pending(self, version: Version | None = None) -> Rows:
+        """Apply the pending versions up to and including `version`, or all of them, to the tables; return their rows."""
         applied: Rows = []
-        while self.pending and (at is None or self.tables_version != at):
+        while self.pending and (version is None or self.tables_version != version):
             self.tables_version, rows = self.pending.pop(0)
             apply_rows(self.tables, rows)
             applied.extend(rows)
@@ -136,15 +136,15 @@
             self._record_pending(rows)
         return applied
 
-    def commit(self, at: Version) -> Rows | None:
-        """Commit the accepted versions up to and including `at`.
+    def commit(self, version: Version) -> Rows | None:
+        """Commit the accepted versions up to and including `version`.
 
         Returns the rows that came into force, or None if every row may have changed.
         """
-        if at <= self.committed or (at != self.tables_version and all(a != at for a, _ in self.pending)):
+        if version <= self.committed or (version != self.tables_version and all(a != version for a, _ in self.pending)):
             return []
-        rows = self.apply_pending(at) if at != self.tables_version else []
-        self.committed = at
+        rows = self.apply_pending(version) if version != self.tables_version else []
+        self.committed = version
         if self.next_commit_is_full:
             self.next_commit_is_full = False
             return None
--- a/zinctrail/consensus/segment.py
+++ b/zinctrail/consensus/segment.py
@@ -43,7 +43,7 @@
     def take_replaced_files(self) -> list[str]:
         """Return the files that the segment file replaces, and forget them.
 
-        Only the newest file stays in `files`: the segment file has its name, and overwrites it.
+        Only the newest file stays in `files`, because the segment file takes over its name.
         """
         replaced, self.files = self.files[:-1], self.files[-1:]
         return replaced
--- a/zinctrail/consensus/snapshot_writer.py
+++ b/zinctrail/consensus/snapshot_writer.py
@@ -33,7 +33,7 @@
 
     def is_received(self, version: storage.Version) -> bool:
         """Whether this is the snapshot of `version`, written as the version is received in chunks."""
-        return self.content is None and self.text.at == version
+        return self.content is None and self.text.version == version
 
 
 class SnapshottedVoter(typing.Protocol):
@@ -105,15 +105,15 @@
 
     def _write_chunk(self, snapshot: OpenSnapshot, text: str, first: bool = False) -> None:
         snapshot.written_bytes += len(text)
-        self.folder.write_chunk(storage.snapshot_name(snapshot.text.at), text, first)
+        self.folder.write_chunk(storage.snapshot_name(snapshot.text.version), text, first)
 
     def _finish(self, snapshot: OpenSnapshot) -> None:
         """Complete a snapshot that was written in chunks; it becomes the newest one."""
-        text, name = snapshot.text, storage.snapshot_name(snapshot.text.at)
+        text, name = snapshot.text, storage.snapshot_name(snapshot.text.version)
         self._write_chunk(snapshot, text.end())
         self.abandon()
         obsolete = tuple(
-            file for file in self.folder.state_files() if storage.version_of(file) <= text.at and file != name
+            file for file in self.folder.state_files() if storage.version_of(file) <= text.version and file != name
         )
         self.newest_bytes = snapshot.written_bytes
         self.folder.commit_chunks(name, text.head(), obsolete)
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -11,7 +11,7 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# Members that read chunks are forgotten once they exceed twice the present members by more than this.
+# Absent members that read chunks are forgotten once such members outnumber twice the present ones by more than this.
 CHUNK_READERS_SPARE = 64
 NO_VERSION = (0, 0)
 
@@ -44,7 +44,7 @@
             content = self._whole_state(peer)
         else:
             content = chunked_transfer.Content(self.leadership.member_updates.latest_for(peer), base, rows)
-        if content.is_single() or content.at <= accepted_version:
+        if content.is_single() or content.version <= accepted_version:
             return False
         if rows is None:
             voter.counts['full'] += 1
@@ -61,7 +61,11 @@
         everything = peer.is_control_node
         content = self.full_states.get(everything)
         accepted_version = peer.accepted or NO_VERSION
-        if content is not None and content.at > accepted_version and self.voter.history.reaches(content.at, everything):
+        if (
+            content is not None
+            and content.version > accepted_version
+            and self.voter.history.reaches(content.version, everything)
+        ):
             return content
         version = self.leadership.member_updates.latest_for(peer)
         content = chunked_transfer.Content.full_state(version, self.voter.replica.full_state(routes=not everything))
@@ -75,9 +79,9 @@
             return False
         content = transfer.content
         accepted_version = peer.accepted or NO_VERSION
-        fits = content.at > accepted_version and content.base in (None, accepted_version)
+        fits = content.version > accepted_version and content.base in (None, accepted_version)
         reads_chunks = peer.node in self.voter.chunk_readers
-        if not fits or not reads_chunks or not self.voter.history.reaches(content.at, peer.is_control_node):
+        if not fits or not reads_chunks or not self.voter.history.reaches(content.version, peer.is_control_node):
             del self.transfers[peer.node]
             return False
         transfer.resume(self.voter.now)
@@ -88,7 +92,7 @@
         voter = self.voter
         transfer = self.transfers[peer.node]
         content = transfer.content
-        peer.sent_at, peer.sent_version = voter.now, content.at
+        peer.sent_at, peer.sent_version = voter.now, content.version
         for number in transfer.take_due(voter.now):
             voter.counts['pieces'] += 1
             voter.send(peer.address, self._chunk_frame(content, number), peer.level >= 2)
@@ -98,7 +102,7 @@
         if number not in content.frames:
             chunk = messages.Chunk(
                 term=self.voter.term,
-                version=content.at,
+                version=content.version,
                 base=content.base,
                 number=number,
                 # Never empty, since only chunks that are due are sent.
@@ -117,7 +121,7 @@
         if peer is None or transfer is None:
             return
         peer.heard_at = self.voter.now
-        if message.version == transfer.content.at and message.base == transfer.content.base:
+        if message.version == transfer.content.version and message.base == transfer.content.base:
             transfer.acknowledge(message.received, self.voter.now)
             self._send_due(peer)
 
@@ -132,7 +136,7 @@
         """Handle a member's response to `version`: the transfer is over if it led to that version or an older one."""
         transfer = self.transfers.get(peer.node)
         if transfer is not None and (
-            version == transfer.content.at or (peer.accepted or NO_VERSION) >= transfer.content.at
+            version == transfer.content.version or (peer.accepted or NO_VERSION) >= transfer.content.version
         ):
             del self.transfers[peer.node]
             # Nothing else was sent to the member during the transfer; the changes since must still be offered to it.
--- a/zinctrail/consensus/storage.py
+++ b/zinctrail/consensus/storage.py
@@ -113,8 +113,8 @@
     # Takes the place of the checksum until that is known.
     PLACEHOLDER = '0' * 8 + ' '
 
-    def __init__(self, at: Version) -> None:
-        self.at = at
+    def __init__(self, version: Version) -> None:
+        self.version = version
         # The CRC-32 of the text after the placeholder so far.
         self.checksum = 0
         # The table of the last row, and all tables begun so far.
@@ -125,7 +125,7 @@
 
     def begin(self) -> str:
         """Return the beginning of the file."""
-        return self.PLACEHOLDER + self._counted(f'{{"gen":{self.at[1]},"tables":{{')
+        return self.PLACEHOLDER + self._counted(f'{{"gen":{self.version[1]},"tables":{{')
 
     def rows(self, rows: list) -> str:
         """Return the text of further rows."""
@@ -144,7 +144,7 @@
 
     def end(self) -> str:
         """Return the end of the file."""
-        return self._counted(f'{"}" if self.tables else ""}}},"term":{self.at[0]}}}')
+        return self._counted(f'{"}" if self.tables else ""}}},"term":{self.version[0]}}}')
 
     def head(self) -> str:
         """Return the checksum that replaces PLACEHOLDER."""
--- a/zinctrail/consensus/transactions.py
+++ b/zinctrail/consensus/transactions.py
@@ -34,11 +34,11 @@
 class Transaction:
     """Computes one version: reads see the rows written so far, and all versions accepted before."""
 
-    def __init__(self, state: replica.Replica, at: tuple[int, int], now: datetime.timedelta) -> None:
+    def __init__(self, state: replica.Replica, version: tuple[int, int], now: datetime.timedelta) -> None:
         self.replica = state
-        self.at = at
-        # The number of the version within its term.
-        self.generation = at[1]
+        self.version = version
+        # The generation of the version, which keeps increasing over changes of term.
+        self.generation = version[1]
         self.now = now
         # The rows written so far: {(table, key): value, None if the key is removed}.
         self.written: dict[tuple[str, str], typing.Any] = {}
--- a/zinctrail/runtime/effects.py
+++ b/zinctrail/runtime/effects.py
@@ -31,7 +31,7 @@
     name: str
     text: str
     obsolete_files: tuple = ()
-    # Whether a reader may still have the obsolete files open; they are then removed, but not overwritten.
+    # Whether a loader may still read the obsolete files; they are then removed, but never overwritten.
     may_be_read: bool = False
 
 
@@ -120,7 +120,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CloseConnections:
-    """Close the idle connections to an incarnation."""
+    """Close the pooled connections to an incarnation."""
 
     incarnation: str
 
--- a/zinctrail/runtime/log_trace.py
+++ b/zinctrail/runtime/log_trace.py
@@ -62,7 +62,7 @@
 
 
 def election_lines(records: list[logs.Record], term: int | None = None) -> list[str]:
-    """Return lines about each term, or about one: its candidates and their reasons, votes, leader, and how it ended."""
+    """Return lines about each term, or about one: its candidates and their reasons, its votes, its leader, its end."""
     addresses = node_addresses(records)
     by_term = collections.defaultdict(list)
     for record in records:
--- a/zinctrail/runtime/settings.py
+++ b/zinctrail/runtime/settings.py
@@ -1,4 +1,7 @@
-"""All settings of a process. Each has a flag of the same name; they are validated together at start."""
+"""All settings of a process, validated together at start.
+
+Each field has a flag of the same name; the flags of durations end in `_ms`.
+"""
 
 import dataclasses
 import datetime
@@ -86,7 +89,7 @@
     repeat_allowance: int = 24
     # The timeout of calls between processes.
     call: datetime.timedelta = ms(3000)
-    # The minimum number of versions between two snapshots.
+    # A new snapshot is due after this many versions, or later if they are small compared with the last snapshot.
     checkpoint_every: int = 256
     # The maximum number of requests or calls queued at one process.
     queue_most: int = 512
