--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -209,9 +209,9 @@
 
 @behave.given('a control node that leads, with room for {count:d} results')
 def little_room(context, count: int):
-    context.add_cleanup(setattr, operations, 'RESULTS_MOST', operations.RESULTS_MOST)
+    context.add_cleanup(setattr, operations, 'MAX_RESULTS', operations.MAX_RESULTS)
     context.leader = operation_cases.OperationLeader()
-    operations.RESULTS_MOST = count
+    operations.MAX_RESULTS = count
 
 
 @behave.when('b requests {count:d} steps of a number at once')
@@ -232,6 +232,6 @@
 
 @behave.then('once the time of a result has gone by, steps are carried out again')
 def steps_later(context):
-    context.leader.node.run(durations.to_ms(operations.RESULTS_KEPT) + BATCH_MS)
+    context.leader.node.run(durations.to_ms(operations.RESULT_RETENTION) + BATCH_MS)
     assert request_steps(context, ['k.later'])['k.later']['status'] == 200
     assert len(context.leader.node.machine.operation_service.results) == 1
