--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -210,6 +210,8 @@
 @behave.then('nothing that must never happen happened in it')
 def day_has_no_violation(context):
     machines = [node.machine for node in context.day.world.of('core')]
-    paces = [machine.leadership.heartbeats.pace(peer) for machine in machines for peer in machine.peers.values()]
+    paces = [
+        machine.leadership.heartbeats.interval_for(peer) for machine in machines for peer in machine.peers.values()
+    ]
     assert any(durations.to_ms(pace) > SLOWER_PACE_MS for pace in paces), 'nobody went at the slower pace'
     assert not context.day.verdicts(), context.day.verdicts()
--- a/zinctrail/consensus/bootstrap.py
+++ b/zinctrail/consensus/bootstrap.py
@@ -15,7 +15,7 @@
 
 # The number of seeds accepted from another process, which bounds what it can make this node probe; real lists are
 # shorter.
-SEEDS_MOST = 16
+MAX_SEEDS = 16
 # The number of probe intervals for which the seeds that another process named are counted.
 NAMED_SEEDS_FOR_PROBES = 10
 # The number of consecutive discovery rounds in which all control nodes must agree on the set before they form a
@@ -25,7 +25,7 @@
 LATE_STABLE_ROUNDS = 25
 # The reason why no cluster is formed is logged once in this many rounds.
 ROUNDS_PER_LOG = 25
-SILENT_SEEDS_LOGGED = 10
+MAX_UNREACHABLE_SEEDS_LOGGED = 10
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,7 +34,7 @@
 
     heard_at: datetime.timedelta
     # The control nodes that are reachable from it.
-    answering: list[str]
+    reachable: list[str]
     # All control nodes that it has seen or that others reported to it, if it is without state.
     view: list[str] | None
     has_enough_seeds: bool
@@ -58,9 +58,9 @@
 class SeedCounts(typing.NamedTuple):
     """Counts of the seeds that all processes name, and the unreachable ones; a seed counts once per process naming it."""
 
-    answering: int
+    reachable: int
     named: int
-    silent: list[str]
+    unreachable: list[str]
 
 
 class DiscoveringVoter(typing.Protocol):
@@ -78,10 +78,10 @@
     def is_forming(self) -> bool:
         """True if this node knows of no fully formed cluster that it belongs to."""
 
-    def answering_control_nodes(self) -> dict[str, str]:
+    def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
 
-    def is_answering(self, address: str) -> bool:
+    def is_reachable(self, address: str) -> bool:
         """True if the node at an address was seen recently."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
@@ -107,17 +107,17 @@
 
     # -- reports of other nodes -------------------------------------------
 
-    def note_named_seeds(self, message: messages.Probe | messages.ProbeResponse):
+    def record_named_seeds(self, message: messages.Probe | messages.ProbeResponse):
         """Record the seeds that another process names, unless this node belongs to a formed cluster."""
         if self.voter.is_forming():
-            seeds = [seed for seed in message.seeds or () if parsing.is_address(seed)][:SEEDS_MOST]
+            seeds = [seed for seed in message.seeds or () if parsing.is_address(seed)][:MAX_SEEDS]
             self.named_seeds[codec.sender_of(message).address] = NamedSeeds(self.voter.now, seeds)
 
     def forget_named_seeds(self):
         """Discard the seeds that others named, as this node has state now."""
         self.named_seeds = {}
 
-    def note_probe_response(self, message: messages.ProbeResponse):
+    def record_probe_response(self, message: messages.ProbeResponse):
         """Record the control nodes and the formation state that a node reported in its probe response."""
         self.probe_views[codec.sender_of(message).node] = ProbeView(
             self.voter.now,
@@ -143,22 +143,22 @@
 
     def fresh_views(self) -> dict[str, ProbeView]:
         """Return the probe responses that came recently, by node."""
-        oldest = self.voter.now - self.voter.settings.probe * discovery.ANSWERS_FOR_PROBES
+        oldest = self.voter.now - self.voter.settings.probe * discovery.REACHABLE_FOR_PROBES
         return {node: view for node, view in self.probe_views.items() if view.heard_at >= oldest}
 
-    def control_nodes_heard(self) -> list[str]:
+    def control_nodes_seen(self) -> list[str]:
         """Return the sorted control nodes that this node or any reachable control node has seen recently."""
-        nodes = {self.voter.node} | set(self.voter.answering_control_nodes())
+        nodes = {self.voter.node} | set(self.voter.reachable_control_nodes())
         for view in self.fresh_views().values():
-            nodes |= set(view.answering)
+            nodes |= set(view.reachable)
         return sorted(nodes)
 
     def seed_counts(self) -> SeedCounts:
         """Count the reachable and the unreachable seeds among those that any process names."""
         named = self.all_named_seeds()
         own = self.voter.location.addr
-        silent = [seed for seed in named if seed != own and not self.voter.is_answering(seed)]
-        return SeedCounts(len(named) - len(silent), len(named), sorted(set(silent)))
+        unreachable = [seed for seed in named if seed != own and not self.voter.is_reachable(seed)]
+        return SeedCounts(len(named) - len(unreachable), len(named), sorted(set(unreachable)))
 
     def has_enough_seeds(self) -> bool:
         """True if at least two thirds of the seeds, each counted once per process that names it, are reachable.
@@ -168,14 +168,14 @@
         (docs/notes/membership.md).
         """
         counts = self.seed_counts()
-        return counts.named > 0 and 3 * counts.answering >= 2 * counts.named
+        return counts.named > 0 and 3 * counts.reachable >= 2 * counts.named
 
     # -- forming a cluster ------------------------------------------------
 
     def run_round(self):
         """Try to form a cluster, or distribute the first version of a new one; runs in each round of a candidate."""
         if self.voter.replica.accepted == formation.FIRST_VERSION:
-            self.voter.formation.spread_first_version()
+            self.voter.formation.distribute_first_version()
         if self.voter.is_forming():
             self.try_to_form()
 
@@ -187,12 +187,12 @@
         seen the same set. The first of the nodes that may form a cluster proposes
         it to the others of these (formation.py); the rest of the set joins it later.
         """
-        view = self.control_nodes_heard()
+        view = self.control_nodes_seen()
         agrees = self.all_agree_on(view)
         self.stable_rounds = self.stable_rounds + 1 if agrees and view == self.last_view else 0
         self.last_view = view
         self.log_why_waiting(agrees)
-        founders = self.founders_heard()
+        founders = self.founders_seen()
         if not self.may_propose(view, founders):
             self.voter.formation.withdraw()
         elif founders[0] == self.voter.node:
@@ -211,14 +211,14 @@
         rounds = LATE_STABLE_ROUNDS if is_small or is_forming else STABLE_ROUNDS
         return self.stable_rounds >= rounds and 2 * len(founders) > len(view)
 
-    def founders_heard(self) -> list[str]:
+    def founders_seen(self) -> list[str]:
         """Return the sorted control nodes seen recently that may form a cluster."""
         founders = {node for node, view in self.fresh_views().items() if view.may_form}
         if self.voter.formation.is_founder():
             founders.add(self.voter.node)
-        return sorted(founders & set(self.control_nodes_heard()))
+        return sorted(founders & set(self.control_nodes_seen()))
 
-    def newest_promise_heard(self) -> int:
+    def newest_promise_seen(self) -> int:
         """Return the highest promise number that a control node reported recently."""
         return max((view.promise_number for view in self.fresh_views().values()), default=0)
 
@@ -248,11 +248,11 @@
             )
         elif not self.has_enough_seeds():
             self.voter.log(
-                f'Waits to form a cluster: {counts.answering} of {counts.named} named seeds are reachable,'
-                f' two thirds are needed; unreachable: {", ".join(counts.silent[:SILENT_SEEDS_LOGGED])}.'
+                f'Waits to form a cluster: {counts.reachable} of {counts.named} named seeds are reachable,'
+                f' two thirds are needed; unreachable: {", ".join(counts.unreachable[:MAX_UNREACHABLE_SEEDS_LOGGED])}.'
             )
         else:
-            nodes = len(self.control_nodes_heard())
+            nodes = len(self.control_nodes_seen())
             self.voter.log(
                 f'Waits to form a cluster: the {nodes} control nodes known here do not all agree on the set.'
             )
--- a/zinctrail/consensus/cluster_replacement.py
+++ b/zinctrail/consensus/cluster_replacement.py
@@ -44,7 +44,7 @@
     def discovery_targets(self) -> list[str]:
         """Return the addresses to probe in this round."""
 
-    def answer_probe(self, address: str) -> None:
+    def respond_to_probe(self, address: str) -> None:
         """Send a node our identity, the control nodes that we have seen, and the leader."""
 
     def on_probe(self, message: messages.Probe) -> None:
@@ -119,7 +119,7 @@
 
     # -- clusters that never formed ---------------------------------------
 
-    def heard_other_cluster(self, message: codec.Message) -> bool:
+    def handle_other_cluster(self, message: codec.Message) -> bool:
         """Handle a message of another cluster; return False if its sender is to be refused.
 
         A node of a formed cluster responds to probes of other clusters, so that a
@@ -127,13 +127,13 @@
         """
         voter = self.voter
         if isinstance(message, messages.Probe) and voter.leader and voter.replica.committed[0] > 0:
-            voter.answer_probe(codec.sender_of(message).address)
+            voter.respond_to_probe(codec.sender_of(message).address)
         elif isinstance(message, messages.ProbeResponse) and self.is_unformed() and message.leader and message.term > 0:
             self.abandon_unformed(codec.sender_of(message))
             return True
-        return self.is_unformed() and self.take_while_unformed(message)
+        return self.is_unformed() and self.handle_while_unformed(message)
 
-    def take_while_unformed(self, message: codec.Message) -> bool:
+    def handle_while_unformed(self, message: codec.Message) -> bool:
         """Handle discovery and formation messages of another cluster, as neither may have formed; False for others."""
         voter = self.voter
         if isinstance(message, messages.Probe):
@@ -168,7 +168,7 @@
             cluster=successor.cluster,
         )
         # The other cluster has formed: without state, this node may only join it.
-        voter.formation.forbid()
+        voter.formation.forbid_formation()
         voter.bootstrap.restart()
         voter.note_node(successor.address, successor.node, 'core', seen=True)
         self.forget_unformed()
--- a/zinctrail/consensus/discovery.py
+++ b/zinctrail/consensus/discovery.py
@@ -9,7 +9,7 @@
 
 # The number of probe intervals for which a node counts as reachable after it was seen: one lost response must not
 # change the set of reachable nodes.
-ANSWERS_FOR_PROBES = 3
+REACHABLE_FOR_PROBES = 3
 # Nodes other than control nodes are probed once in this many rounds.
 ROUNDS_PER_FULL_PROBE = 5
 
@@ -47,20 +47,20 @@
         if seen:
             known.heard_at = known.mentioned_at = self.now
 
-    def answers_lately(self, known: KnownNode) -> bool:
+    def was_seen_recently(self, known: KnownNode) -> bool:
         """True if a known node was seen recently."""
-        return known.heard_at is not None and known.heard_at >= self.now - self.settings.probe * ANSWERS_FOR_PROBES
+        return known.heard_at is not None and known.heard_at >= self.now - self.settings.probe * REACHABLE_FOR_PROBES
 
-    def is_answering(self, address: str) -> bool:
+    def is_reachable(self, address: str) -> bool:
         """True if the node at an address was seen recently."""
-        return address in self.known_nodes and self.answers_lately(self.known_nodes[address])
+        return address in self.known_nodes and self.was_seen_recently(self.known_nodes[address])
 
-    def answering_control_nodes(self) -> dict[str, str]:
+    def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
         return {
             known.node: address
             for address, known in self.known_nodes.items()
-            if known.role == 'core' and known.node and self.answers_lately(known)
+            if known.role == 'core' and known.node and self.was_seen_recently(known)
         }
 
     def timer_discovery(self):
@@ -93,12 +93,12 @@
     def on_probe(self, message: messages.Probe):
         """Record the probing node, and respond."""
         self.note_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
-        self.answer_probe(message.sender.address)
+        self.respond_to_probe(message.sender.address)
 
-    def answer_probe(self, address: str):
+    def respond_to_probe(self, address: str):
         """Send a node our identity, the control nodes that we have seen, and the leader."""
         control_nodes = [
-            [known_address, known.node, self.answers_lately(known)]
+            [known_address, known.node, self.was_seen_recently(known)]
             for known_address, known in self.known_nodes.items()
             if known.role == 'core' and known.heard_at is not None
         ]
--- a/zinctrail/consensus/election.py
+++ b/zinctrail/consensus/election.py
@@ -14,11 +14,11 @@
 import zinctrail.runtime.settings as settings
 
 # The minimum delay of an election is the setting `elect` divided by this.
-LEAST_DELAY_DIVISOR = 6
+MIN_DELAY_DIVISOR = 6
 # The additional delay of each voter after the one ranked before it, as a fraction of the setting `elect`.
-TURN_DELAY = 0.5
+RANK_DELAY = 0.5
 # The random fraction of the delay at the first attempt; in later attempts all of the delay is random.
-FIRST_RANDOM_SHARE = 0.2
+FIRST_RANDOM_FRACTION = 0.2
 
 # {node that voted: its row as a member; None for our own vote}
 Votes = dict[str, messages.MemberRow | None]
@@ -56,7 +56,7 @@
     def voting_set(self) -> VotingSet:
         """Return the voting configuration, {committed, accepted}."""
 
-    def answering_control_nodes(self) -> dict[str, str]:
+    def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
 
     def member(self) -> messages.MemberRow:
@@ -83,7 +83,7 @@
     def become_leader(self, votes: Votes) -> None:
         """Become leader of the current term."""
 
-    def note_reads_chunks(self, message: messages.Vote) -> None:
+    def record_chunk_support(self, message: messages.Vote) -> None:
         """Record whether the sender supports chunked transfers."""
 
     def on_join(self, message: messages.Vote) -> None:
@@ -117,41 +117,41 @@
         voter = self.voter
         if 'election' in voter.timers:
             return
-        if replica.joint_quorum({voter.node, *voter.answering_control_nodes()}, voter.voting_set()):
+        if replica.joint_quorum({voter.node, *voter.reachable_control_nodes()}, voter.voting_set()):
             is_first = self.attempts == 0
             interval = voter.settings.elect
             longest = min(interval * (1 + self.attempts), voter.settings.elect_most)
-            turn = interval * (TURN_DELAY * self.turn()) if is_first else durations.ZERO
-            random_delay = longest * voter.rng.random() * (FIRST_RANDOM_SHARE if is_first else 1)
-            voter.set_timer('election', interval / LEAST_DELAY_DIVISOR + turn + random_delay)
+            rank_delay = interval * (RANK_DELAY * self.election_rank()) if is_first else durations.ZERO
+            random_delay = longest * voter.rng.random() * (FIRST_RANDOM_FRACTION if is_first else 1)
+            voter.set_timer('election', interval / MIN_DELAY_DIVISOR + rank_delay + random_delay)
 
-    def turn(self) -> int:
+    def election_rank(self) -> int:
         """Return the number of reachable voters that are ranked before this node; the order differs between terms."""
         configuration = self.voter.voting_set()
         eligible = {*configuration['accepted'], *configuration['committed']}
-        voters = eligible & self.voter.answering_control_nodes().keys()
+        voters = eligible & self.voter.reachable_control_nodes().keys()
         if self.voter.node not in configuration['accepted']:
             return len(voters)
-        ours = self.turn_order(self.voter.node)
-        return sum(1 for node in voters if self.turn_order(node) < ours)
+        ours = self.rank_key(self.voter.node)
+        return sum(1 for node in voters if self.rank_key(node) < ours)
 
-    def turn_order(self, node: str) -> int:
+    def rank_key(self, node: str) -> int:
         """Return the sort key that ranks a voter in this term."""
         return zlib.crc32(f'{self.voter.term}/{node}'.encode())
 
-    def may_stand(self) -> bool:
+    def may_start_election(self) -> bool:
         """True if this node may become leader: it holds state and can write it."""
         voter = self.voter
         accepted = voter.replica.accepted
         if voter.mode != 'candidate' or voter.disk_failed or voter.stopping or accepted == storage.NO_VERSION:
             return False
-        return accepted != formation.FIRST_VERSION or voter.formation.is_first_version_settled()
+        return accepted != formation.FIRST_VERSION or voter.formation.has_first_version_quorum()
 
     # -- pre-votes --------------------------------------------------------
 
     def on_timer(self):
         """Start a pre-vote: ask all reachable control nodes whether they would vote for this node."""
-        if not self.may_stand():
+        if not self.may_start_election():
             return
         if self.has_just_voted():
             self.plan()
@@ -160,7 +160,7 @@
         self.attempts += 1
         self.pre_votes = {voter.node: voter.term}
         voter.counts['prevotes'] += 1
-        for _, address in sorted(voter.answering_control_nodes().items()):
+        for _, address in sorted(voter.reachable_control_nodes().items()):
             voter.send_message(address, messages.PreVote(term=voter.term, accepted=voter.replica.accepted))
         self.count_pre_votes()
         self.plan()
@@ -213,7 +213,7 @@
         voter.log(f'Starts an election for term {term}.', 'stand', term=term, why=reason, tries=self.attempts)
         voter.raise_term(term, voter.node)
         self.votes = {voter.node: None}
-        for _, address in sorted(voter.answering_control_nodes().items()):
+        for _, address in sorted(voter.reachable_control_nodes().items()):
             voter.send_message(address, messages.StartJoin(term=term))
         self.count_votes()
 
@@ -253,7 +253,7 @@
             return
         self.votes[codec.sender_of(message).node] = message.member
         voter.reported_versions[codec.sender_of(message).node] = message.accepted
-        voter.note_reads_chunks(message)
+        voter.record_chunk_support(message)
         self.count_votes()
 
     def count_votes(self):
@@ -264,7 +264,7 @@
 
     # -- ending an election -----------------------------------------------
 
-    def leader_followed(self):
+    def leader_changed(self):
         """End the election of this node, as it follows a leader now."""
         self.attempts = 0
         self.abandon()
--- a/zinctrail/consensus/following.py
+++ b/zinctrail/consensus/following.py
@@ -25,7 +25,7 @@
         # {'id', 'addr', 'http'} of the leader that is followed.
         self.leader: messages.LeaderRow | None = None
         self.leaderless_since = durations.ZERO
-        self.leader_heard_at = durations.ZERO
+        self.leader_last_seen_at = durations.ZERO
         # Why the last leader was lost, for the log of the next election.
         self.leader_loss_reason = ''
         # {heartbeat round of this leader: when its heartbeat was received}, in order of receipt.
@@ -48,7 +48,7 @@
             # A restarted leader numbers its rounds from the beginning, so the stored rounds are no longer valid.
             self.heartbeats_received.clear()
             self.raise_term(message.term, sender.node)
-        self.leader_heard_at = self.now
+        self.leader_last_seen_at = self.now
         if not self.leader or self.leader['id'] != sender.node or self.mode != 'follower':
             self.mode = 'follower'
             self.leader = {'id': sender.node, 'addr': sender.address, 'http': message.http}
@@ -60,13 +60,13 @@
                 node=sender.node,
                 addr=sender.address,
             )
-            self.followed()
+            self.leader_changed()
         if interval is not None:
             self.heartbeat_interval = interval
         self.set_timer('leader', max(self.heartbeat_interval, self.settings.check) * self.settings.misses)
         return True
 
-    def followed(self):
+    def leader_changed(self):
         """Handle a change of the leader that this node follows."""
         self.chunk_notices = 0
         self.version_receiver.drop_foreign_transfer()
@@ -88,10 +88,10 @@
                 messages.HeartbeatResponse(term=self.term, round=message.round, is_refused=True),
             )
             return
-        self.note_heartbeat(message)
-        self.answer_heartbeat(message)
+        self.record_heartbeat(message)
+        self.respond_to_heartbeat(message)
 
-    def note_heartbeat(self, message: messages.Heartbeat):
+    def record_heartbeat(self, message: messages.Heartbeat):
         """Record when a heartbeat came, and accept the lease that it grants.
 
         A lease starts at our own receipt time, so that a delayed grant cannot
@@ -104,11 +104,11 @@
             # Operations waiting for this leader can be sent only now, since a request must name one of its rounds.
             self.retry_operations()
         if message.granted_round is not None:
-            self.take_lease(message.granted_round)
+            self.accept_lease(message.granted_round)
         while len(self.heartbeats_received) > HEARTBEATS_REMEMBERED:
             self.heartbeats_received.popitem(last=False)
 
-    def answer_heartbeat(self, message: messages.Heartbeat):
+    def respond_to_heartbeat(self, message: messages.Heartbeat):
         """Report the versions accepted and committed here to the leader.
 
         Support for chunked transfers is reported in the first responses only: a new
@@ -136,9 +136,9 @@
     def on_lease_grant(self, message: messages.LeaseGrant):
         """Accept a lease from the leader that this node follows."""
         if message.term == self.term and self.leader and self.leader['id'] == message.sender.node:
-            self.take_lease(message.granted_round)
+            self.accept_lease(message.granted_round)
 
-    def take_lease(self, granted_round: int):
+    def accept_lease(self, granted_round: int):
         """Extend the lease to its full length from the receipt of the heartbeat of `granted_round`."""
         received_at = self.heartbeats_received.get(granted_round)
         if received_at is not None:
--- a/zinctrail/consensus/formation.py
+++ b/zinctrail/consensus/formation.py
@@ -65,13 +65,13 @@
     def forget_unformed(self) -> None:
         """Discard the first version of a cluster that did not form, and rewrite the identity file."""
 
-    def answering_control_nodes(self) -> dict[str, str]:
+    def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
 
-    def founders_heard(self) -> list[str]:
+    def founders_seen(self) -> list[str]:
         """Return the sorted control nodes seen recently that may form a cluster."""
 
-    def newest_promise_heard(self) -> int:
+    def newest_promise_seen(self) -> int:
         """Return the highest promise number that a control node reported recently."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
@@ -80,7 +80,7 @@
     def log(self, text: str, event: str = '', **fields) -> None:
         """Log a sentence, with an event name and fields to search by."""
 
-    def joins_new_cluster(self) -> None:
+    def joining_new_cluster(self) -> None:
         """Prepare for the first version of a cluster, which this node is about to accept."""
 
     def accept(
@@ -89,7 +89,7 @@
         """Accept a version: changed rows on top of `base`, or complete tables."""
 
 
-def is_given_up(identity: storage.NodeFile, cluster: str, accepted: messages.Version, term: int) -> bool:
+def is_superseded(identity: storage.NodeFile, cluster: str, accepted: messages.Version, term: int) -> bool:
     """True if a data folder holds the first version of a cluster that its node has superseded by a later promise.
 
     Files of discarded state stay in the data folder until they are overwritten.
@@ -126,7 +126,7 @@
         """True if this node may form a cluster now."""
         return self.may_form and self.voter.is_forming() and not self.voter.stopping and not self.voter.disk_failed
 
-    def forbid(self) -> None:
+    def forbid_formation(self) -> None:
         """Never form a cluster from now on: another one has formed, whose state this node may come to hold."""
         self.may_form, self.promised, self.earlier_sets = False, None, []
 
@@ -159,13 +159,13 @@
     def propose(self, nodes: list[str]) -> None:
         """Ask the nodes of a set to form a cluster; called in each round in which all nodes agree on the set."""
         if self.proposal is None or self.proposal.nodes != nodes:
-            number = max(self.promise_number(), self.voter.newest_promise_heard()) + 1
+            number = max(self.promise_number(), self.voter.newest_promise_seen()) + 1
             if not self.may_promise(number, nodes):
                 return
             cluster = uuid.UUID(int=self.voter.rng.getrandbits(128), version=4).hex
             self.promise(cluster, number, nodes)
             self.proposal = Proposal(cluster, number, nodes, {self.voter.node})
-        addresses = self.voter.answering_control_nodes()
+        addresses = self.voter.reachable_control_nodes()
         for node in nodes:
             if node in addresses and node not in self.proposal.promised:
                 message = messages.FormationProposal(
@@ -181,7 +181,7 @@
     def on_proposal(self, message: messages.FormationProposal) -> None:
         """Promise to form the proposed cluster, if we see the same set and no earlier promise forbids it."""
         if not self.promised or self.promised['cluster'] != message.cluster:
-            if self.voter.founders_heard() != message.nodes or not self.may_promise(message.number, message.nodes):
+            if self.voter.founders_seen() != message.nodes or not self.may_promise(message.number, message.nodes):
                 return
             self.withdraw()
             self.promise(message.cluster, message.number, message.nodes)
@@ -206,24 +206,24 @@
             nodes=proposal.nodes,
         )
         self.take_first_version(proposal.cluster, proposal.nodes)
-        self.spread_first_version()
+        self.distribute_first_version()
 
     # -- the first version ----------------------------------------------------
 
     def take_first_version(self, cluster: str, nodes: list[str]) -> None:
         """Accept the first version of a new cluster, whose voters are `nodes`."""
         self.voter.cluster = cluster
-        self.voter.joins_new_cluster()
+        self.voter.joining_new_cluster()
         configuration = {'committed': nodes, 'accepted': nodes}
         tables = {'meta': {'cluster': cluster, 'vc': configuration, 'boot': nodes, 'routes': list(FIRST_VERSION)}}
         self.voter.persistence.write_term()
         self.voter.accept(FIRST_VERSION, storage.NO_VERSION, None, tables)
         self.first_version_nodes = {self.voter.node}
 
-    def spread_first_version(self) -> None:
+    def distribute_first_version(self) -> None:
         """Ask the other reachable nodes of the set, those not known to have the first version, to accept it."""
         nodes = self.voter.replica.latest('meta', 'boot')
-        addresses = self.voter.answering_control_nodes()
+        addresses = self.voter.reachable_control_nodes()
         for node in nodes:
             if node in addresses and node not in (self.first_version_nodes or ()):
                 self.voter.send_message(addresses[node], messages.Bootstrap(view=nodes, resumed=True))
@@ -242,6 +242,6 @@
         if message.is_accepted and self.voter.replica.accepted == FIRST_VERSION:
             self.first_version_nodes = (self.first_version_nodes or {self.voter.node}) | {codec.sender_of(message).node}
 
-    def is_first_version_settled(self) -> bool:
+    def has_first_version_quorum(self) -> bool:
         """True if a majority of the set has accepted the first version, which is valid only then."""
         return replica.quorum(self.first_version_nodes or (), self.voter.replica.latest('meta', 'boot'))
--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -16,13 +16,13 @@
     import zinctrail.consensus.leadership as leadership
 
 # How long a node that shuts down keeps serving clients that still use it, even if it has nothing else to do.
-STAY = durations.ms(300)
+LINGER_TIME = durations.ms(300)
 # The same for a node that follows no leader and has no vote.
-STAY_ALONE = durations.ms(100)
+LINGER_TIME_ALONE = durations.ms(100)
 # How long a leader that shuts down tries to hand over.
-HAND_OVER_MOST = durations.ms(1500)
+MAX_HANDOVER_TIME = durations.ms(1500)
 # The interval after which a message without a response is sent again.
-RESEND = durations.ms(150)
+RESEND_INTERVAL = durations.ms(150)
 
 
 class LeavingVoter(typing.Protocol):
@@ -84,34 +84,34 @@
 
     def begin(self):
         """Begin the shutdown: hand over the leadership, or ask the leader for release."""
-        self.earliest_exit = self.voter.now + STAY
+        self.earliest_exit = self.voter.now + LINGER_TIME
         # Half of the grace period, because the rest of the process's shutdown must fit in it as well.
-        self.latest_exit = self.voter.now + max(HAND_OVER_MOST, self.voter.settings.grace / 2)
+        self.latest_exit = self.voter.now + max(MAX_HANDOVER_TIME, self.voter.settings.grace / 2)
         self.voter.log('Shuts down and leaves the cluster.', 'leave', node=self.voter.node)
         if self.voter.is_leader:
             self.name_successor()
-            self.voter.set_timer('exit', HAND_OVER_MOST)
+            self.voter.set_timer('exit', MAX_HANDOVER_TIME)
         else:
-            self.leave_as_follower()
+            self.shut_down_as_follower()
 
     # -- as a follower ----------------------------------------------------
 
-    def leave_as_follower(self):
-        """Wait for the leader's release; without a leader, a voter waits up to HAND_OVER_MOST for the next one."""
+    def shut_down_as_follower(self):
+        """Wait for the leader's release; without a leader, a voter waits up to MAX_HANDOVER_TIME for the next one."""
         if self.voter.disk_failed:
             # A node whose disk failed handles no messages of a leader, so it cannot be released.
-            self.voter.set_timer('exit', STAY)
+            self.voter.set_timer('exit', LINGER_TIME)
         elif self.voter.leader and self.voter.mode == 'follower':
-            self.leave_under_leader()
+            self.await_release()
         elif self.has_vote():
-            self.voter.set_timer('exit', HAND_OVER_MOST)
+            self.voter.set_timer('exit', MAX_HANDOVER_TIME)
         else:
-            self.voter.set_timer('exit', STAY_ALONE)
+            self.voter.set_timer('exit', LINGER_TIME_ALONE)
 
-    def leave_under_leader(self):
+    def await_release(self):
         """Ask the leader for release, and wait for it."""
         if not self.released:
-            self.voter.set_timer('exit', max(STAY, self.latest_exit - self.voter.now))
+            self.voter.set_timer('exit', max(LINGER_TIME, self.latest_exit - self.voter.now))
             self.request_release()
 
     def has_vote(self) -> bool:
@@ -124,7 +124,7 @@
         voter = self.voter
         if voter.leader and voter.mode == 'follower':
             voter.send_message(voter.leader['addr'], messages.Leave(awaits_release=True))
-            voter.set_timer('request_release', RESEND)
+            voter.set_timer('request_release', RESEND_INTERVAL)
 
     def on_leave_response(self, message: messages.LeaveResponse):
         """Schedule the exit: a voting set without this node is committed, or no other node can take its place."""
@@ -154,7 +154,7 @@
             peer = max(prepared, key=lambda peer: (peer.accepted, peer.heard_at))
             voter.log(f'Names {peer.node} as the next leader.', 'successor', term=voter.term, node=peer.node)
             voter.send_message(peer.address, messages.Succeed(term=voter.term))
-        voter.set_timer('successor', RESEND)
+        voter.set_timer('successor', RESEND_INTERVAL)
 
     def on_succeed(self, message: messages.Succeed):
         """Start an election without a pre-vote, as the leader shuts down and names this node its successor."""
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -15,7 +15,7 @@
 # A heartbeat due within this fraction of the shortest interval is sent already now, since rounds start a little late.
 DUE_TOLERANCE = 1 / 4
 # The fraction of the shortest interval for which a message just sent to a member may still be in transit.
-IN_TRANSIT = 1 / 2
+IN_TRANSIT_FRACTION = 1 / 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -24,12 +24,12 @@
 
     started_at: datetime.timedelta
     # The nodes that responded, including the leader.
-    answered: set[str]
+    responded: set[str]
     # Whether leases may be based on this round.
     grants_leases: bool
     # Each member's newest response before the round started: {node: (round, when)}. Only on these responses may a
     # lease be based.
-    answers_before: dict[str, tuple[int, datetime.timedelta]]
+    responses_before: dict[str, tuple[int, datetime.timedelta]]
     # The nodes granted a lease in this round; None until a quorum responded.
     granted: set[str] | None = None
 
@@ -53,13 +53,15 @@
         if voter.now - self.quorum_at > settings.check * settings.misses:
             voter.step_down('no quorum answers')
             return
-        silent = [p for p in self.leadership.peers.values() if p.heard_at < voter.now - self.pace(p) * settings.misses]
-        for peer in silent:
+        unresponsive = [
+            p for p in self.leadership.peers.values() if p.heard_at < voter.now - self.interval_for(p) * settings.misses
+        ]
+        for peer in unresponsive:
             self.leadership.membership.remove(peer, 'silent')
         self.leadership.state_transfers.forget_unused()
         voter.tick_leader()
 
-    def pace(self, peer: peers.Peer) -> datetime.timedelta:
+    def interval_for(self, peer: peers.Peer) -> datetime.timedelta:
         """Return the interval of a member's heartbeats.
 
         Control nodes get the shortest interval. In a large fleet the other members get a longer one, so that the
@@ -83,7 +85,7 @@
         grants_leases = grants_leases or everyone
         # Recorded at the start of the round: a lease may only be based on earlier responses.
         peers_asked = self.leadership.peers.items() if grants_leases else ()
-        before = {node: (peer.answered_round, peer.answered_at) for node, peer in peers_asked}
+        before = {node: (peer.answered_round, peer.responded_at) for node, peer in peers_asked}
         self.rounds[voter.heartbeat_round] = HeartbeatRound(voter.now, {voter.node}, grants_leases, before)
         self._forget_old_rounds()
         voting_set = voter.voting_set()
@@ -91,8 +93,8 @@
             is_voter = peer.node in voting_set['accepted'] or peer.node in voting_set['committed']
             if is_voter or everyone and (peer.is_control_node or self._is_due(peer)):
                 self.send_heartbeat(peer)
-        self._count_answers(voter.heartbeat_round)
-        voter.majority_contact.watch()
+        self._count_responses(voter.heartbeat_round)
+        voter.majority_contact.arm_timer()
 
     def oldest_unconfirmed(self) -> HeartbeatRound | None:
         """Return the first round that no quorum has responded to yet; None if there is none."""
@@ -107,7 +109,7 @@
 
     def _is_due(self, peer):
         since = self.voter.now - peer.heartbeat_sent_at
-        return since >= self.pace(peer) - self.voter.settings.check * DUE_TOLERANCE
+        return since >= self.interval_for(peer) - self.voter.settings.check * DUE_TOLERANCE
 
     def send_heartbeat(self, peer: peers.Peer):
         """Send one member the heartbeat of the newest round."""
@@ -119,7 +121,7 @@
             recipient=peer.node,
             round=voter.heartbeat_round,
             http=voter.location.http,
-            interval_ms=None if peer.is_control_node else durations.to_ms(self.pace(peer)),
+            interval_ms=None if peer.is_control_node else durations.to_ms(self.interval_for(peer)),
             granted_round=self.leadership.leases.piggyback(peer),
         )
         voter.send_message(peer.address, heartbeat)
@@ -137,22 +139,22 @@
             if not peer.answered_round and 'lease_round' not in voter.timers:
                 # The member has no lease yet, so it serves no requests; a round that may grant it one starts soon.
                 voter.set_timer('lease_round', voter.settings.gather)
-            peer.answered_round, peer.answered_at = message.round, voter.now
+            peer.answered_round, peer.responded_at = message.round, voter.now
         peer.accepted = max(peer.accepted or (0, 0), message.accepted)
         # A control node's report counts even if it is lower: after a restart it no longer knows what was committed.
         peer.committed = message.committed if peer.is_control_node else max(peer.committed, message.committed)
         self.leadership.replication.note_accepted(peer)
         self.catch_up(peer)
-        self._note_answer(peer, message.round)
+        self._record_response(peer, message.round)
 
-    def _note_answer(self, peer, number):
-        answered = self.rounds.get(number)
-        if answered and peer.node not in answered.answered:
-            answered.answered.add(peer.node)
+    def _record_response(self, peer, number):
+        heartbeat_round = self.rounds.get(number)
+        if heartbeat_round and peer.node not in heartbeat_round.responded:
+            heartbeat_round.responded.add(peer.node)
             if peer.is_control_node:
-                self._count_answers(number)
-            if answered.granted is not None:
-                self.leadership.leases.grant(peer, answered)
+                self._count_responses(number)
+            if heartbeat_round.granted is not None:
+                self.leadership.leases.grant(peer, heartbeat_round)
 
     def catch_up(self, peer: peers.Peer):
         """Resend to a member the versions and commit notices that its responses show to be missing."""
@@ -161,7 +163,7 @@
             transfers.resend_if_unacknowledged(peer)
             return
         # The missing versions may be in transit.
-        if self.voter.now - peer.sent_at < self.voter.settings.check * IN_TRANSIT:
+        if self.voter.now - peer.sent_at < self.voter.settings.check * IN_TRANSIT_FRACTION:
             return
         if peer.accepted != updates.latest_for(peer):
             peer.sent_version, peer.notified_commit = None, (0, 0)
@@ -170,25 +172,25 @@
             peer.notified_commit = (0, 0)
             updates.notify_commit(peer)
 
-    def _count_answers(self, number):
+    def _count_responses(self, number):
         """Confirm a round once a quorum has responded: grant leases, release reads, continue publishing."""
-        answered = self.rounds[number]
-        if number <= self.quorum_round or not replica.joint_quorum(answered.answered, self.voter.voting_set()):
+        heartbeat_round = self.rounds[number]
+        if number <= self.quorum_round or not replica.joint_quorum(heartbeat_round.responded, self.voter.voting_set()):
             return
         self.quorum_round = number
-        self.quorum_at = max(self.quorum_at, answered.started_at)
+        self.quorum_at = max(self.quorum_at, heartbeat_round.started_at)
         # No leases before the first version of this term is committed: the committed state may be outdated until then.
         if self.voter.replica.committed[0] == self.voter.term:
-            self._grant_leases(answered)
+            self._grant_leases(heartbeat_round)
         self.leadership.fenced_reads.round_confirmed(number)
         # Publish the changes that waited while no quorum responded.
         self.leadership.replication.pump()
 
-    def _grant_leases(self, answered):
-        answered.granted = set() if answered.grants_leases else None
+    def _grant_leases(self, heartbeat_round):
+        heartbeat_round.granted = set() if heartbeat_round.grants_leases else None
         for peer in self.leadership.peers.values():
-            number, at = answered.answers_before.get(peer.node, (0, None))
+            number, at = heartbeat_round.responses_before.get(peer.node, (0, None))
             if number > peer.lease_round:
-                peer.lease_round, peer.lease_answered_at = number, at
-            if answered.grants_leases:
-                self.leadership.leases.grant(peer, answered)
+                peer.lease_round, peer.lease_responded_at = number, at
+            if heartbeat_round.grants_leases:
+                self.leadership.leases.grant(peer, heartbeat_round)
--- a/zinctrail/consensus/leader_part.py
+++ b/zinctrail/consensus/leader_part.py
@@ -53,7 +53,7 @@
     def send(self, address: str, frame: codec.Frame, packs: bool = False) -> None:
         """Send a frame; `packs` is true if the receiver reads packed frames."""
 
-    def note_reads_chunks(self, message: codec.Message) -> None:
+    def record_chunk_support(self, message: codec.Message) -> None:
         """Record whether the sender supports chunked transfers."""
 
     def forget_addresses(self) -> None:
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -13,7 +13,7 @@
 # The timers that only a leader sets.
 LEADER_TIMERS = ('heartbeat', 'publication', 'publish', 'successor', 'fence', 'lease_round')
 # The number of control node addresses above which those of neither voters nor members are dropped.
-ADDRESSES_MOST = 256
+MAX_ADDRESSES = 256
 
 
 class Leading:
@@ -82,7 +82,7 @@
         self.majority_contact.leadership_ended()
         self.restart_discovery()
         if self.stopping:
-            self.graceful_shutdown.leave_as_follower()
+            self.graceful_shutdown.shut_down_as_follower()
 
     def deposed(self):
         """Step down, as another node has reached a newer term."""
@@ -137,7 +137,7 @@
 
     def voting_set_waits(self) -> list[str]:
         """Return descriptions of the conditions that a better voting set waits for."""
-        return self.leadership.voting_configuration.awaits() if self.is_leader and self.voting_set() else []
+        return self.leadership.voting_configuration.pending_conditions() if self.is_leader and self.voting_set() else []
 
     # -- messages ---------------------------------------------------------
 
@@ -181,7 +181,7 @@
         if self.is_leader:
             self.leadership.membership.on_leave(message)
 
-    def note_reads_chunks(self, message: messages.Join | messages.Vote):
+    def record_chunk_support(self, message: messages.Join | messages.Vote):
         """Record whether the sender supports chunked transfers."""
         if message.reads_chunks:
             self.chunk_readers.add(message.sender.node)
@@ -228,7 +228,7 @@
         if node and role == 'core':
             # Stored in addition to `known_nodes`, which holds only the newest identity at each address.
             self.control_node_addresses[node] = addr
-            if len(self.control_node_addresses) > ADDRESSES_MOST:
+            if len(self.control_node_addresses) > MAX_ADDRESSES:
                 self.forget_addresses()
 
     def forget_addresses(self):
--- a/zinctrail/consensus/leases.py
+++ b/zinctrail/consensus/leases.py
@@ -10,9 +10,9 @@
 import zinctrail.consensus.peers as peers
 
 # The number of newest commits whose time a leader remembers.
-COMMITS_MOST = 2048
+MAX_COMMITS = 2048
 # A member whose last grant is older than this many heartbeat intervals gets the next one in a separate frame.
-PIGGYBACK_INTERVALS_MOST = 1.5
+MAX_PIGGYBACK_INTERVALS = 1.5
 
 
 class Commit(typing.NamedTuple):
@@ -29,7 +29,7 @@
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
         # The newest commits of this term, the oldest first.
-        self.commits: collections.deque[Commit] = collections.deque(maxlen=COMMITS_MOST)
+        self.commits: collections.deque[Commit] = collections.deque(maxlen=MAX_COMMITS)
 
     def note_commit(self, version: tuple[int, int], changes_routes: bool):
         """Record that a version was committed now."""
@@ -45,7 +45,7 @@
             return
         if not peer.lease_round or self.is_piggybacked(peer):
             return
-        if not self.has_all_committed(peer, peer.lease_answered_at):
+        if not self.has_all_committed(peer, peer.lease_responded_at):
             return
         if granted is not None:
             granted.add(peer.node)
@@ -56,7 +56,7 @@
         """Return the round whose lease is granted in the next heartbeat itself; None if none is granted."""
         if not self.is_piggybacked(peer) or not peer.lease_round:
             return None
-        if not self.has_all_committed(peer, peer.lease_answered_at):
+        if not self.has_all_committed(peer, peer.lease_responded_at):
             return None
         peer.lease_granted_at = self.voter.now
         return peer.lease_round
@@ -67,11 +67,11 @@
         Only for intervals longer than the shortest, where the last response is not yet confirmed when the next
         heartbeat is sent; and not after a gap, when the member's lease may have expired or may expire soon.
         """
-        pace = self.leadership.heartbeats.pace(peer)
+        interval = self.leadership.heartbeats.interval_for(peer)
         return (
-            pace > self.voter.settings.check
+            interval > self.voter.settings.check
             and peer.lease_granted_at is not None
-            and self.voter.now - peer.lease_granted_at < pace * PIGGYBACK_INTERVALS_MOST
+            and self.voter.now - peer.lease_granted_at < interval * MAX_PIGGYBACK_INTERVALS
         )
 
     def has_all_committed(self, peer: peers.Peer, when: datetime.timedelta) -> bool:
--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -26,13 +26,13 @@
 HEARTBEAT_OVERDUE = durations.ms(300)
 # The number of heartbeat intervals that a call sent to the leader may wait for a response, or other proof that the
 # leader received it: a link may have failed in one direction. A granted lease is such a proof, two heartbeats later.
-ANSWER_HEARTBEATS = 2
+RECEIPT_HEARTBEATS = 2
 # A timer that fires this late shows that this process itself was suspended.
-STOOD_STILL = durations.ms(50)
+SUSPENSION_THRESHOLD = durations.ms(50)
 # How long a node without a leader waits for an election before it refuses its callers.
 ELECTION_OVERDUE = durations.ms(300)
 RETRY_MS = 300
-NO_CONTACT: results.OperationResult = {
+NO_MAJORITY: results.OperationResult = {
     'status': 503,
     'fault': 'out of touch with a majority',
     'retry_ms': RETRY_MS,
@@ -70,7 +70,7 @@
     # How long it stays without a leader before it refuses its callers.
     election_wait: datetime.timedelta
     leaderless_since: datetime.timedelta
-    leader_heard_at: datetime.timedelta
+    leader_last_seen_at: datetime.timedelta
     heartbeats_received: dict[int, datetime.timedelta]
     pending_operations: dict[str, operation_requests.PendingOperation]
 
@@ -120,7 +120,7 @@
         if voter.mode == 'follower':
             return (
                 self.unreceived_since is not None
-                or voter.now - voter.leader_heard_at >= voter.settings.check + HEARTBEAT_OVERDUE
+                or voter.now - voter.leader_last_seen_at >= voter.settings.check + HEARTBEAT_OVERDUE
             )
         return voter.now - voter.leaderless_since >= voter.election_wait
 
@@ -135,12 +135,12 @@
         # A process that was suspended may have started no round for a long time.
         return now - heartbeats.quorum_at >= self.voter.settings.check + ROUND_OVERDUE
 
-    def watch(self):
+    def arm_timer(self):
         """Set the timer, unless it is set, to when contact counts as lost if no message comes until then."""
         if 'contact' not in self.voter.timers:
             self._set_timer(max(self._deadline(), self.voter.now + self.voter.settings.gather))
 
-    def note_received(self, sent_at: datetime.timedelta):
+    def record_received(self, sent_at: datetime.timedelta):
         """Record that the leader has received what we sent at `sent_at`."""
         self.received_until = max(self.received_until, sent_at)
         if self.unreceived_since is not None and sent_at > self.unreceived_since:
@@ -154,12 +154,12 @@
         if voter.mode == 'follower' and not voter.heartbeats_received:
             return self.followed_at + voter.election_wait
         if voter.mode == 'follower':
-            return min(voter.leader_heard_at + voter.settings.check + HEARTBEAT_OVERDUE, self._answer_deadline())
+            return min(voter.leader_last_seen_at + voter.settings.check + HEARTBEAT_OVERDUE, self._receipt_deadline())
         return voter.leaderless_since + voter.election_wait
 
-    def _answer_deadline(self) -> datetime.timedelta:
+    def _receipt_deadline(self) -> datetime.timedelta:
         """Return when the oldest call without proof of receipt counts as not received by the leader."""
-        return self._oldest_unreceived() + self.voter.settings.check * ANSWER_HEARTBEATS
+        return self._oldest_unreceived() + self.voter.settings.check * RECEIPT_HEARTBEATS
 
     def _oldest_unreceived(self) -> datetime.timedelta:
         """Return when the oldest call without proof of receipt was sent to the leader; now, if there is none."""
@@ -173,30 +173,30 @@
     def on_timer(self):
         """Respond to waiting callers if contact is lost, and serve or resend the deferred calls."""
         voter = self.voter
-        if voter.now > self.timer_due + STOOD_STILL and not self.is_postponed:
+        if voter.now > self.timer_due + SUSPENSION_THRESHOLD and not self.is_postponed:
             # Messages received meanwhile are read first. The timer is postponed only once, or a busy process would
             # never respond.
             self.is_postponed = True
             self._set_timer(voter.now + voter.settings.gather)
             return
         self.is_postponed = False
-        if voter.mode == 'follower' and voter.now >= self._answer_deadline():
+        if voter.mode == 'follower' and voter.now >= self._receipt_deadline():
             self.unreceived_since = self._oldest_unreceived()
         if self.is_lost():
-            self.answer_waiting_callers()
+            self.respond_to_waiting_callers()
         self._release_deferred_calls()
         if voter.pending_operations or (voter.leadership and voter.leadership.heartbeats.oldest_unconfirmed()):
-            self.watch()
+            self.arm_timer()
 
     # -- responses --------------------------------------------------------
 
-    def answer_waiting_callers(self):
+    def respond_to_waiting_callers(self):
         """Respond to all waiting callers, as it is unknown when a majority will be reachable again."""
         if self.voter.leadership:
             self._refuse_unpublished(self.voter.leadership)
-            self._answer_unknown()
+            self._respond_unknown()
         else:
-            self._answer_pending_operations()
+            self._respond_to_pending_operations()
 
     def _refuse_unpublished(self, leadership: 'leadership.Leadership'):
         """Refuse the calls that were certainly not executed: reads, and changes never sent by this node."""
@@ -209,7 +209,7 @@
         for call in deferred:
             call.callback(results.NO_LEADER)
 
-    def _answer_unknown(self):
+    def _respond_unknown(self):
         """Respond `unknown` to the open calls: their changes may still be committed, here or by a successor."""
         for number, call in list(self.open_calls.items()):
             # An earlier callback may have responded to this call already.
@@ -217,14 +217,14 @@
                 del self.open_calls[number]
                 call.callback(results.LOST)
 
-    def _answer_pending_operations(self):
+    def _respond_to_pending_operations(self):
         """Respond to the calls of a node that does not lead; those never sent to a leader were certainly not executed."""
         waiting, self.voter.pending_operations = self.voter.pending_operations, {}
         for pending in waiting.values():
             if pending.sends and not self.voter.only_reads(pending.operation):
                 pending.callback(dict(results.LOST))
             else:
-                pending.callback(dict(NO_CONTACT, unknown=False))
+                pending.callback(dict(NO_MAJORITY, unknown=False))
 
     def _release_deferred_calls(self):
         deferred, self.deferred_calls = self.deferred_calls, []
@@ -242,7 +242,7 @@
         if not patient:
             self.open_calls[number] = OpenCall(operation, callback)
 
-        def answered(result):
+        def respond(result):
             if patient:
                 callback(result)
             elif self.open_calls.pop(number, None):
@@ -250,21 +250,21 @@
 
         if self.is_lost():
             # Deferred shortly: heartbeat responses of other nodes may be queued behind this call.
-            self.deferred_calls.append(DeferredCall(operation, arguments, answered))
+            self.deferred_calls.append(DeferredCall(operation, arguments, respond))
             voter = self.voter
             self._set_timer(min(voter.timers.get('contact', voter.now), voter.now) + voter.settings.gather)
         else:
-            self.voter.serve(operation, arguments, answered)
+            self.voter.serve(operation, arguments, respond)
 
     def _as_refused_to_callers(self, result: results.OperationResult) -> results.OperationResult:
         """Return the result for the caller: a refusal for want of a leader, while we lead, means a lost majority."""
         if result['status'] != results.NO_LEADER['status'] or not self.voter.leadership:
             return result
-        return results.LOST if result.get('unknown') else NO_CONTACT
+        return results.LOST if result.get('unknown') else NO_MAJORITY
 
     # -- leader changes ---------------------------------------------------
 
-    def leader_followed(self):
+    def leader_changed(self):
         """Handle a change of the leader that this node follows."""
         self.unreceived_since = None
         self.received_until = durations.ZERO
@@ -278,7 +278,7 @@
         """Restart the timer for pending calls, which may wait for one election from now."""
         self.voter.timers.pop('contact', None)
         if self.voter.pending_operations:
-            self.watch()
+            self.arm_timer()
 
     def leadership_ended(self):
         """Refuse the deferred calls, which were never started, as this node no longer leads."""
--- a/zinctrail/consensus/member.py
+++ b/zinctrail/consensus/member.py
@@ -28,11 +28,11 @@
 # One in this many malformed frames is logged.
 BAD_FRAMES_PER_LOG = 1000
 # The number of refused senders that are remembered, so that each is logged only once.
-REFUSED_MOST = 1000
+MAX_REFUSED_SENDERS = 1000
 # The largest difference in wire level between a sender and this node; frames from other levels are refused.
-LEVELS_APART_MOST = 1
+MAX_LEVEL_DIFFERENCE = 1
 # How long a process that shuts down waits for its last messages to be sent.
-LEAVE_WAIT = durations.ms(200)
+EXIT_DELAY = durations.ms(200)
 # The settings of the location that take effect only at the next start of the process.
 FIXED_LOCATION = ('addr', 'http', 'cell', 'front')
 
@@ -112,34 +112,34 @@
         if handler is None:
             return
         sender = message.sender
-        if abs(sender.level - self.level) > LEVELS_APART_MOST:
+        if abs(sender.level - self.level) > MAX_LEVEL_DIFFERENCE:
             self.refuse_sender(sender, 'wire level')
         elif sender.cluster and self.cluster and sender.cluster != self.cluster:
-            self.take_from_other_cluster(message)
+            self.receive_from_other_cluster(message)
         elif sender.node != self.node:
             handler(message)
 
-    def take_from_other_cluster(self, message: codec.Message):
+    def receive_from_other_cluster(self, message: codec.Message):
         """Handle a message from another cluster than ours."""
         if isinstance(message, messages.Retired):
             self.cluster_retired(message)
         elif message.sender.cluster in (self.replica.get('meta', 'retired') or ()):
             # A node that was believed lost when its cluster was recovered must not act when it returns.
             self.send_message(message.sender.address, messages.Retired(clusters=self.replica.get('meta', 'retired')))
-        elif not self.heard_other_cluster(message):
+        elif not self.handle_other_cluster(message):
             self.refuse_sender(message.sender, 'cluster')
 
-    def refuse_sender(self, sender: codec.Sender, what: str):
-        """Log once that frames of this sender are ignored, because its `what` differs from ours."""
+    def refuse_sender(self, sender: codec.Sender, mismatch: str):
+        """Log once that frames of this sender are ignored, because its cluster or wire level (`mismatch`) differs."""
         key = (sender.address, sender.cluster)
         if key not in self.refused_senders:
             # Bounded, because unknown senders must not be able to fill our memory.
-            if len(self.refused_senders) > REFUSED_MOST:
+            if len(self.refused_senders) > MAX_REFUSED_SENDERS:
                 self.refused_senders.clear()
             self.refused_senders.add(key)
-            self.log(f'Peer {sender.address} refused: other {what}.')
+            self.log(f'Peer {sender.address} refused: other {mismatch}.')
 
-    def heard_other_cluster(self, message: codec.Message) -> bool:
+    def handle_other_cluster(self, message: codec.Message) -> bool:
         """Hook of the role: handle a message of another cluster; return False if its sender is to be refused."""
         return False
 
@@ -271,11 +271,11 @@
         self.log('Shuts down and leaves the cluster.', 'leave', node=self.node)
         if self.leader:
             self.send_message(self.leader['addr'], messages.Leave())
-        self.set_timer('exit', self.leave_wait())
+        self.set_timer('exit', self.exit_delay())
 
-    def leave_wait(self):
+    def exit_delay(self):
         """Return how long the process keeps running after it was told to stop."""
-        return LEAVE_WAIT
+        return EXIT_DELAY
 
     def timer_exit(self):
         """Exit the process."""
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -10,9 +10,9 @@
 import zinctrail.runtime.durations as durations
 
 # The minimum time between two submitted removals of the same member.
-REMOVAL_PAUSE = durations.ms(1000)
+MIN_REMOVAL_INTERVAL = durations.ms(1000)
 # The fraction of a heartbeat interval for which the response to a join request may still be in transit.
-IN_TRANSIT = 1 / 2
+IN_TRANSIT_FRACTION = 1 / 2
 
 
 class Membership(leader_part.LeaderPart):
@@ -31,7 +31,7 @@
         for node, row in voter.replica.whole_of('members').items():
             if node == voter.node or row is None:
                 continue
-            peer = self.leadership.peers[node] = peers.Peer.of_row(node, row, voter.now)
+            peer = self.leadership.peers[node] = peers.Peer.from_row(node, row, voter.now)
             if node in votes:
                 peer.accepted = voter.reported_versions.pop(node, None)
             else:
@@ -68,7 +68,7 @@
         """Create and return the peer for a row of the `members` table; None if the peer exists already."""
         if node == self.voter.node or node in self.leadership.peers:
             return None
-        peer = self.leadership.peers[node] = peers.Peer.of_row(node, row, self.voter.now)
+        peer = self.leadership.peers[node] = peers.Peer.from_row(node, row, self.voter.now)
         self.voter.log(
             f'Member {node} ({peer.role} {peer.address}) joined.',
             'here',
@@ -85,7 +85,7 @@
         voter, node = self.voter, codec.sender_of(message).node
         # A node that shuts down sends no join requests, so this one was restarted.
         self.leaving.pop(node, None)
-        voter.note_reads_chunks(message)
+        voter.record_chunk_support(message)
         voter.reported_versions[node] = message.accepted
         peer = self.leadership.peers.get(node)
         if peer is not None:
@@ -97,7 +97,7 @@
     def _rejoin(self, peer: peers.Peer, accepted: messages.Version):
         voter = self.voter
         peer.heard_at = voter.now
-        in_transit = voter.now - peer.sent_at < voter.settings.check * IN_TRANSIT
+        in_transit = voter.now - peer.sent_at < voter.settings.check * IN_TRANSIT_FRACTION
         if peer.sent_version is not None and accepted == (peer.accepted or (0, 0)) and in_transit:
             # The node sends a join request for each probe response that names the leader, so requests are repeated;
             # the response to an earlier one is in transit.
@@ -128,7 +128,7 @@
     def remove(self, peer: peers.Peer, why: str):
         """Remove a member from the cluster."""
         voter, node = self.voter, peer.node
-        if node in self.removals and self.removals[node] > voter.now - REMOVAL_PAUSE:
+        if node in self.removals and self.removals[node] > voter.now - MIN_REMOVAL_INTERVAL:
             return
         self.removals[node] = voter.now
         self.leadership.voting_configuration.caught_up.discard(node)
--- a/zinctrail/consensus/peers.py
+++ b/zinctrail/consensus/peers.py
@@ -28,16 +28,16 @@
     committed: tuple[int, int] = (0, 0)
     # The newest heartbeat round that the member responded to, and when that response came.
     answered_round: int = 0
-    answered_at: datetime.timedelta = durations.ZERO
+    responded_at: datetime.timedelta = durations.ZERO
     heartbeat_sent_at: datetime.timedelta = durations.ZERO
     # The round of the member's newest response that a lease may be based on, and when that response came.
     lease_round: int = 0
-    lease_answered_at: datetime.timedelta = durations.ZERO
+    lease_responded_at: datetime.timedelta = durations.ZERO
     # When the member was last granted a lease; None if never.
     lease_granted_at: datetime.timedelta | None = None
 
     @classmethod
-    def of_row(cls, node: str, row: dict, now: datetime.timedelta) -> 'Peer':
+    def from_row(cls, node: str, row: dict, now: datetime.timedelta) -> 'Peer':
         """Create the peer for a row of the table `members`, as if its last message had come just now."""
         return cls(
             node,
@@ -45,8 +45,8 @@
             row['role'],
             row.get('level', 1),
             heard_at=now,
-            answered_at=now,
-            lease_answered_at=now,
+            responded_at=now,
+            lease_responded_at=now,
         )
 
     @property
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -51,7 +51,7 @@
         files = files or {}
         node, cluster, term, vote, loaded = storage.load(files)
         identity = storage.load_node(files) if 'node' in files else None
-        if identity and formation.is_given_up(identity, cluster, loaded.accepted, term):
+        if identity and formation.is_superseded(identity, cluster, loaded.accepted, term):
             cluster, loaded = '', replica.Replica()
         # The last known address of each control node: {node: address}.
         self.control_node_addresses: dict[str, str] = {}
@@ -225,7 +225,7 @@
         if not self.is_forming():
             return {}
         return {
-            'view': self.bootstrap.control_nodes_heard(),
+            'view': self.bootstrap.control_nodes_seen(),
             'has_enough_seeds': self.bootstrap.has_enough_seeds(),
             'may_form': self.formation.is_founder(),
             'promise_number': self.formation.promise_number(),
@@ -233,7 +233,7 @@
 
     def on_probe(self, message: messages.Probe):
         """Record the probing node and the seeds that it names, and respond."""
-        self.bootstrap.note_named_seeds(message)
+        self.bootstrap.record_named_seeds(message)
         super().on_probe(message)
 
     def on_probe_response(self, message: messages.ProbeResponse):
@@ -241,9 +241,9 @@
 
         Planning at once, not in the next probe round, shortens the time without a leader.
         """
-        self.bootstrap.note_named_seeds(message)
+        self.bootstrap.record_named_seeds(message)
         super().on_probe_response(message)
-        self.bootstrap.note_probe_response(message)
+        self.bootstrap.record_probe_response(message)
         if self.mode == 'candidate' and self.replica.accepted > storage.NO_VERSION and not self.stopping:
             self.election.plan()
 
@@ -259,15 +259,15 @@
         if self.replica.accepted > storage.NO_VERSION:
             self.election.plan()
 
-    def founders_heard(self) -> list[str]:
+    def founders_seen(self) -> list[str]:
         """Return the sorted control nodes seen recently that may form a cluster."""
-        return self.bootstrap.founders_heard()
+        return self.bootstrap.founders_seen()
 
-    def newest_promise_heard(self) -> int:
+    def newest_promise_seen(self) -> int:
         """Return the highest promise number that a control node reported recently."""
-        return self.bootstrap.newest_promise_heard()
+        return self.bootstrap.newest_promise_seen()
 
-    def joins_new_cluster(self):
+    def joining_new_cluster(self):
         """Reset the count of stable rounds, as this node accepts the first version of a cluster."""
         self.bootstrap.stable_rounds = 0
 
@@ -342,9 +342,9 @@
         """Handle the list of retired clusters that a node of another cluster sent."""
         self.cluster_replacement.on_cluster_retired(message)
 
-    def heard_other_cluster(self, message: codec.Message) -> bool:
+    def handle_other_cluster(self, message: codec.Message) -> bool:
         """Handle a message of another cluster; return False if its sender is to be refused."""
-        return self.cluster_replacement.heard_other_cluster(message)
+        return self.cluster_replacement.handle_other_cluster(message)
 
     # -- majority contact ---------------------------------------------------
 
@@ -354,15 +354,15 @@
 
     def leader_received(self, sent_at: datetime.timedelta):
         """Handle proof, in a message of the leader, that it received what we sent at `sent_at`."""
-        self.majority_contact.note_received(sent_at)
+        self.majority_contact.record_received(sent_at)
 
-    def followed(self):
+    def leader_changed(self):
         """Handle a change of the leader that this node follows."""
-        self.majority_contact.leader_followed()
-        super().followed()
-        self.election.leader_followed()
+        self.majority_contact.leader_changed()
+        super().leader_changed()
+        self.election.leader_changed()
         if self.stopping:
-            self.graceful_shutdown.leave_under_leader()
+            self.graceful_shutdown.await_release()
 
     def lose_leader(self, reason: str):
         """Stop following the leader, and look for the next one."""
@@ -373,11 +373,11 @@
         """Send an operation to the leader, if there is one and contact with the majority is not lost."""
         if self.mode == 'follower' and self.majority_contact.is_lost():
             # Not sent, so that the caller can still be told that the operation was not executed.
-            self.majority_contact.watch()
+            self.majority_contact.arm_timer()
             return
         super().send_operation(key)
         if key in self.pending_operations:
-            self.majority_contact.watch()
+            self.majority_contact.arm_timer()
 
     # -- shutting down ----------------------------------------------------
 
--- a/zinctrail/consensus/voter_status.py
+++ b/zinctrail/consensus/voter_status.py
@@ -57,9 +57,9 @@
         counts = node.bootstrap.seed_counts()
         document['waits_to_form'] = {
             'seeds_named': counts.named,
-            'answer': counts.answering,
-            'silent': counts.silent,
-            'control_nodes': node.bootstrap.control_nodes_heard(),
+            'answer': counts.reachable,
+            'silent': counts.unreachable,
+            'control_nodes': node.bootstrap.control_nodes_seen(),
             'only_joins': not node.formation.may_form,
         }
     if node.cluster_replacement.replaced_by:
@@ -93,7 +93,7 @@
     peer = node.peers.get(name)
     if peer is None or node.leadership is None:
         return {'ack_ms': 0, 'generation': list(node.replica.committed), 'leased': name == node.node}
-    is_current = node.leadership.leases.has_all_committed(peer, peer.answered_at)
+    is_current = node.leadership.leases.has_all_committed(peer, peer.responded_at)
     return {
         'ack_ms': member_status.age_ms(node.now, peer.heard_at),
         'generation': list(peer.committed),
--- a/zinctrail/consensus/voting_configuration.py
+++ b/zinctrail/consensus/voting_configuration.py
@@ -10,9 +10,9 @@
 import zinctrail.consensus.replication as replication
 import zinctrail.runtime.durations as durations
 
-SIZE_MOST = 5
+MAX_VOTERS = 5
 # A set of this size tolerates one loss; the leader never shrinks a set below it.
-SIZE_LEAST = 3
+MIN_VOTERS = 3
 # How long an absent voter that may return with the same identity keeps its place: a restart should cost no change.
 RETURN_WAIT = durations.ms(2000)
 # The same if removing it would shrink the set without tolerating more losses than before.
@@ -23,11 +23,11 @@
 
 
 def odd_size(count: int) -> int:
-    """Return the largest odd size of a voting set that `count` nodes can fill, up to SIZE_MOST."""
-    return min(SIZE_MOST, count - 1 + count % 2)
+    """Return the largest odd size of a voting set that `count` nodes can fill, up to MAX_VOTERS."""
+    return min(MAX_VOTERS, count - 1 + count % 2)
 
 
-def spare_losses(voters: collections.abc.Collection, live: collections.abc.Collection) -> int:
+def quorum_margin(voters: collections.abc.Collection, live: collections.abc.Collection) -> int:
     """Return how many live voters may be lost while the others are still a majority; negative without a majority."""
     return len(set(voters) & set(live)) - (len(voters) // 2 + 1)
 
@@ -68,12 +68,12 @@
         if committed['committed'] != committed['accepted']:
             changed = {'committed': committed['accepted'], 'accepted': committed['accepted']}
         else:
-            wanted = self.wanted_voters(committed['accepted'])
-            if wanted == committed['accepted']:
+            next_voters = self.next_voting_set(committed['accepted'])
+            if next_voters == committed['accepted']:
                 if waited:
                     self.leadership.replication.pump()
                 return
-            changed = {'committed': committed['accepted'], 'accepted': wanted}
+            changed = {'committed': committed['accepted'], 'accepted': next_voters}
         if self.pending_change == changed:
             return
         if self.leadership.replication.in_flight:
@@ -99,7 +99,7 @@
 
     # -- candidates for the voting set ------------------------------------
 
-    def has_nearly_all(self, peer: peers.Peer) -> bool:
+    def is_nearly_caught_up(self, peer: peers.Peer) -> bool:
         """True if a member has caught up far enough to vote.
 
         It may lack the newest versions: under load some are always in flight.
@@ -112,7 +112,7 @@
 
     def note_caught_up(self, peer: peers.Peer):
         """Reconfigure at once if a control node has just caught up: the next heartbeat interval would be too late."""
-        if peer.is_control_node and peer.node not in self.caught_up and self.has_nearly_all(peer):
+        if peer.is_control_node and peer.node not in self.caught_up and self.is_nearly_caught_up(peer):
             self.caught_up.add(peer.node)
             self.reconfigure()
 
@@ -122,17 +122,17 @@
         others = [n for n, peer in self.leadership.peers.items() if peer.is_control_node and n not in leaving]
         return [self.voter.node, *others]
 
-    def standing_by(self, voters: list[str]) -> list[str]:
+    def non_voters(self, voters: list[str]) -> list[str]:
         """Return the live control nodes outside the voting set, including those still catching up."""
         voter = self.voter
         return [n for n in self.live_control_nodes() if n not in voters and not (n == voter.node and voter.stopping)]
 
-    def spares(self, voters: list[str]) -> list[str]:
+    def caught_up_non_voters(self, voters: list[str]) -> list[str]:
         """Return the live control nodes outside the voting set that have caught up, so that they could vote at once."""
         peers_here = self.leadership.peers
-        return [n for n in self.standing_by(voters) if n == self.voter.node or self.has_nearly_all(peers_here[n])]
+        return [n for n in self.non_voters(voters) if n == self.voter.node or self.is_nearly_caught_up(peers_here[n])]
 
-    def is_lost_for_good(self, node: str) -> bool:
+    def is_permanently_lost(self, node: str) -> bool:
         """True if a voter has announced its shutdown, or another identity was admitted at its address."""
         if node in self.leadership.membership.leaving:
             return True
@@ -146,25 +146,25 @@
 
     # -- choice of the next set -------------------------------------------
 
-    def wanted_voters(self, voters: list[str]) -> list[str]:
+    def next_voting_set(self, voters: list[str]) -> list[str]:
         """Return the next set on the way to the best one; `voters` itself if no change is needed."""
         live = [n for n in self.live_control_nodes() if n in voters]
         absent = [n for n in voters if n not in live]
         self.absent_since = {n: self.absent_since.get(n, self.voter.now) for n in absent}
         # A voter that may return soon keeps its place: a restart should not cost two versions.
-        awaited = [n for n in absent if not self.is_lost_for_good(n) and self.absent_for(n) < RETURN_WAIT]
-        ready = live + self.spares(voters) + awaited
+        awaited = [n for n in absent if not self.is_permanently_lost(n) and self.absent_for(n) < RETURN_WAIT]
+        ready = live + self.caught_up_non_voters(voters) + awaited
         size = odd_size(len(ready))
-        if size < SIZE_LEAST:
+        if size < MIN_VOTERS:
             # The leader never shrinks the set below three by itself: a single surviving node must not decide alone.
-            return voters if len(voters) >= SIZE_LEAST or len(ready) <= len(voters) else sorted(ready)
+            return voters if len(voters) >= MIN_VOTERS or len(ready) <= len(voters) else sorted(ready)
         if size < odd_size(len(voters)) and not self._may_shrink(voters, live, absent, size):
             return voters
-        return self._one_step(voters, self._pick_voters(ready, size, voters, awaited))
+        return self._next_step(voters, self._pick_voters(ready, size, voters, awaited))
 
     def _may_shrink(self, voters: list[str], live: list[str], absent: list[str], size: int) -> bool:
         """True if a smaller set tolerates more losses now, or all absent voters have been absent for SHRINK_WAIT."""
-        if spare_losses(range(size), range(size)) > spare_losses(voters, live):
+        if quorum_margin(range(size), range(size)) > quorum_margin(voters, live):
             return True
         return all(self.absent_for(n) >= SHRINK_WAIT for n in absent)
 
@@ -173,40 +173,40 @@
     ) -> list[str]:
         """Pick `size` of the ready nodes, spread over regions, then zones; current voters are preferred."""
         members = self.voter.replica.get('members')
-        cells = self.voter.replica.get('cells')
+        zones = self.voter.replica.get('cells')
         changed_at = self.voter.voting_set_changed_at
         keeps_voters = changed_at is not None and self.voter.now - changed_at < SPREAD_WAIT
         picked: list[str] = []
 
-        def cell_of(node: str) -> str:
+        def zone_of(node: str) -> str:
             return (members.get(node) or {'cell': ''})['cell']
 
         def region_of(node: str) -> str:
-            return node_location.region_of(cells, cell_of(node))
+            return node_location.region_of(zones, zone_of(node))
 
         def cost(node: str) -> tuple:
             same_region = sum(1 for other in picked if region_of(other) == region_of(node))
-            same_cell = sum(1 for other in picked if cell_of(other) == cell_of(node))
+            same_zone = sum(1 for other in picked if zone_of(other) == zone_of(node))
             is_new = node not in voters
-            return keeps_voters and is_new, same_region, same_cell, is_new, node in awaited, node
+            return keeps_voters and is_new, same_region, same_zone, is_new, node in awaited, node
 
         while len(picked) < size:
             picked.append(min((n for n in ready if n not in picked), key=cost))
         return sorted(picked)
 
-    def _one_step(self, voters: list[str], wanted: list[str]) -> list[str]:
-        """Return the next set on the way to `wanted`.
+    def _next_step(self, voters: list[str], target: list[str]) -> list[str]:
+        """Return the next set on the way to the set `target`.
 
         Quorums of the sets before and after each step overlap in more than one node.
         """
-        added = [n for n in wanted if n not in voters][:1]
-        removed = [n for n in voters if n not in wanted]
+        added = [n for n in target if n not in voters][:1]
+        removed = [n for n in voters if n not in target]
         # Permanently lost voters are removed first: they reduce the number of losses that the set tolerates.
-        removed.sort(key=lambda n: (not self.is_lost_for_good(n), n in self.leadership.peers, n))
-        if len(wanted) <= len(voters):
+        removed.sort(key=lambda n: (not self.is_permanently_lost(n), n in self.leadership.peers, n))
+        if len(target) <= len(voters):
             removed = removed[: 1 if added else 2]
         elif not removed:
-            added = [n for n in wanted if n not in voters][:2]
+            added = [n for n in target if n not in voters][:2]
         else:
             removed = removed[:1]
         return sorted((set(voters) | set(added)) - set(removed))
@@ -232,7 +232,7 @@
 
     def _has_replacement(self, voters: list[str]) -> bool:
         """True if the voting set is about to change, or a live control node could join it, perhaps after catching up."""
-        return self.wanted_voters(voters) != voters or bool(self.standing_by(voters))
+        return self.next_voting_set(voters) != voters or bool(self.non_voters(voters))
 
     # -- status -----------------------------------------------------------
 
@@ -240,22 +240,22 @@
         """Return how many more voters may be lost now while each set keeps a majority; -1 without a majority."""
         voting_set = self.voter.voting_set()
         live = self.live_control_nodes()
-        return max(-1, min(spare_losses(voting_set['committed'], live), spare_losses(voting_set['accepted'], live)))
+        return max(-1, min(quorum_margin(voting_set['committed'], live), quorum_margin(voting_set['accepted'], live)))
 
-    def awaits(self) -> list[str]:
+    def pending_conditions(self) -> list[str]:
         """Return descriptions of the conditions that a better voting set waits for."""
         voting_set = self.voter.voting_set()
         waits = [] if voting_set['committed'] == voting_set['accepted'] else ['joint change under way']
         if self.waits_for_commits:
             waits.append('earlier generations to be committed')
         live, voters = self.live_control_nodes(), voting_set['accepted']
-        waits += [f'catching up {n}' for n in self.standing_by(voters) if n not in self.caught_up]
-        waits += [self._awaited_for(n) for n in voters if n not in live]
+        waits += [f'catching up {n}' for n in self.non_voters(voters) if n not in self.caught_up]
+        waits += [self._condition_for(n) for n in voters if n not in live]
         return waits
 
-    def _awaited_for(self, node: str) -> str:
+    def _condition_for(self, node: str) -> str:
         if node in self.leadership.membership.leaving:
             return f'a control node in the place of {node}, which leaves'
-        if self.is_lost_for_good(node):
+        if self.is_permanently_lost(node):
             return f'a control node in the place of {node}, which is gone for good'
         return f'{node} to come back, or a control node in its place'
