--- a/zinctrail/consensus/bootstrap.py
+++ b/zinctrail/consensus/bootstrap.py
@@ -32,7 +32,7 @@
 class ProbeView:
     """The last ProbeResponse of a node."""
 
-    heard_at: datetime.timedelta
+    last_seen_at: datetime.timedelta
     # The control nodes that are reachable from it.
     reachable: list[str]
     # All control nodes that it has seen or that others reported to it, if it is without state.
@@ -51,7 +51,7 @@
 class NamedSeeds:
     """The seeds that a process reported as its own."""
 
-    heard_at: datetime.timedelta
+    last_seen_at: datetime.timedelta
     addresses: list[str]
 
 
@@ -132,19 +132,21 @@
     def forget_old_views(self):
         """Discard the reports of nodes not seen for the setting `remember`."""
         oldest = self.voter.now - self.voter.settings.remember
-        for node in [node for node, view in self.probe_views.items() if view.heard_at < oldest]:
+        for node in [node for node, view in self.probe_views.items() if view.last_seen_at < oldest]:
             del self.probe_views[node]
 
     def all_named_seeds(self) -> list[str]:
         """Return the seeds named by all processes of any role seen recently, including this one, with repetitions."""
         oldest = self.voter.now - self.voter.settings.probe * NAMED_SEEDS_FOR_PROBES
-        named = [seed for seeds in self.named_seeds.values() if seeds.heard_at >= oldest for seed in seeds.addresses]
+        named = [
+            seed for seeds in self.named_seeds.values() if seeds.last_seen_at >= oldest for seed in seeds.addresses
+        ]
         return named + list(self.voter.location.seeds)
 
     def fresh_views(self) -> dict[str, ProbeView]:
         """Return the probe responses that came recently, by node."""
         oldest = self.voter.now - self.voter.settings.probe * discovery.REACHABLE_FOR_PROBES
-        return {node: view for node, view in self.probe_views.items() if view.heard_at >= oldest}
+        return {node: view for node, view in self.probe_views.items() if view.last_seen_at >= oldest}
 
     def control_nodes_seen(self) -> list[str]:
         """Return the sorted control nodes that this node or any reachable control node has seen recently."""
--- a/zinctrail/consensus/chunked_transfer.py
+++ b/zinctrail/consensus/chunked_transfer.py
@@ -118,7 +118,7 @@
         # When each chunk that is on its way was sent, by its number.
         self.sent_at: dict[int, datetime.timedelta] = {}
         # When the receiver last made progress.
-        self.heard_at = now
+        self.last_seen_at = now
 
     def due(self, now: datetime.timedelta) -> list[int]:
         """The numbers of the chunks that may be sent now; they count as sent."""
@@ -143,13 +143,13 @@
         self.acknowledged = received
         self.sent = max(self.sent, received)
         self.sent_at = {number: at for number, at in self.sent_at.items() if number >= received}
-        self.heard_at = now
+        self.last_seen_at = now
 
     def resume(self, now: datetime.timedelta) -> None:
         """Begin again after what the receiver is known to have, with a single chunk until it answers."""
         self.sent = self.acknowledged
         self.window = 1
-        self.heard_at = now
+        self.last_seen_at = now
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/zinctrail/consensus/discovery.py
+++ b/zinctrail/consensus/discovery.py
@@ -21,7 +21,7 @@
     node: str
     role: str
     # When its last message came; None if none came yet.
-    heard_at: datetime.timedelta | None
+    last_seen_at: datetime.timedelta | None
     # When its last message came, or when another node first mentioned it.
     mentioned_at: datetime.timedelta
 
@@ -41,15 +41,18 @@
             return
         known = self.known_nodes.setdefault(address, KnownNode(node, role, None, self.now))
         if node and known.node != node:
-            known.node, known.heard_at = node, None
+            known.node, known.last_seen_at = node, None
         if role:
             known.role = role
         if seen:
-            known.heard_at = known.mentioned_at = self.now
+            known.last_seen_at = known.mentioned_at = self.now
 
     def was_seen_recently(self, known: KnownNode) -> bool:
         """True if a known node was seen recently."""
-        return known.heard_at is not None and known.heard_at >= self.now - self.settings.probe * REACHABLE_FOR_PROBES
+        return (
+            known.last_seen_at is not None
+            and known.last_seen_at >= self.now - self.settings.probe * REACHABLE_FOR_PROBES
+        )
 
     def is_reachable(self, address: str) -> bool:
         """True if the node at an address was seen recently."""
@@ -100,7 +103,7 @@
         control_nodes = [
             [known_address, known.node, self.was_seen_recently(known)]
             for known_address, known in self.known_nodes.items()
-            if known.role == 'core' and known.heard_at is not None
+            if known.role == 'core' and known.last_seen_at is not None
         ]
         self.send_message(
             address,
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -54,7 +54,9 @@
             voter.step_down('no quorum answers')
             return
         unresponsive = [
-            p for p in self.leadership.peers.values() if p.heard_at < voter.now - self.interval_for(p) * settings.misses
+            p
+            for p in self.leadership.peers.values()
+            if p.last_seen_at < voter.now - self.interval_for(p) * settings.misses
         ]
         for peer in unresponsive:
             self.leadership.membership.remove(peer, 'silent')
@@ -132,7 +134,7 @@
         peer = self.leadership.peers.get(message.sender.node)
         if peer is None:
             return
-        peer.heard_at = voter.now
+        peer.last_seen_at = voter.now
         if message.reads_chunks:
             voter.chunk_readers.add(peer.node)
         if message.round > peer.answered_round:
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -53,7 +53,7 @@
         admitted = {n for n, row in self.voter.replica.whole_of('members').items() if row}
         for node in [n for n in self.leadership.peers if n not in rows and n not in admitted]:
             # Absence counts from the last message of the member, not from its removal.
-            absent_since = self.leadership.peers.pop(node).heard_at
+            absent_since = self.leadership.peers.pop(node).last_seen_at
             self.leadership.voting_configuration.absent_since[node] = absent_since
         updates = self.leadership.member_updates
         for node, row in rows.items():
@@ -96,7 +96,7 @@
 
     def _rejoin(self, peer: peers.Peer, accepted: messages.Version):
         voter = self.voter
-        peer.heard_at = voter.now
+        peer.last_seen_at = voter.now
         in_transit = voter.now - peer.sent_at < voter.settings.check * IN_TRANSIT_FRACTION
         if peer.sent_version is not None and accepted == (peer.accepted or (0, 0)) and in_transit:
             # The node sends a join request for each probe response that names the leader, so requests are repeated;
--- a/zinctrail/consensus/peers.py
+++ b/zinctrail/consensus/peers.py
@@ -17,7 +17,7 @@
     # The wire level that the member uses.
     level: int
     # When the last message from the member came.
-    heard_at: datetime.timedelta
+    last_seen_at: datetime.timedelta
     # The newest version that the member reported as accepted; None before its first report.
     accepted: tuple[int, int] | None = None
     # The newest version sent to the member, which is assumed to arrive; None if its version must be determined first.
@@ -44,7 +44,7 @@
             row['addr'],
             row['role'],
             row.get('level', 1),
-            heard_at=now,
+            last_seen_at=now,
             responded_at=now,
             lease_responded_at=now,
         )
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -109,7 +109,7 @@
         transfer = self.transfers.get(node)
         if peer is None or transfer is None:
             return
-        peer.heard_at = self.voter.now
+        peer.last_seen_at = self.voter.now
         if message.version == transfer.content.at and message.base == transfer.content.base:
             transfer.acknowledge(message.received, self.voter.now)
             self._send_due(peer)
@@ -117,7 +117,7 @@
     def resend_if_unacknowledged(self, peer: peers.Peer) -> None:
         """Send again what was not acknowledged for long."""
         transfer = self.transfers[peer.node]
-        if self.voter.now - transfer.heard_at >= chunked_transfer.RESEND:
+        if self.voter.now - transfer.last_seen_at >= chunked_transfer.RESEND:
             transfer.resume(self.voter.now)
             self._send_due(peer)
 
@@ -135,7 +135,7 @@
         """Drop transfers to members that stay away, and whole states that nobody is being sent."""
         oldest = self.voter.now - chunked_transfer.KEPT
         peers_here, readers = self.leadership.peers, self.voter.chunk_readers
-        for node in [n for n, t in self.transfers.items() if n not in peers_here and t.heard_at < oldest]:
+        for node in [n for n, t in self.transfers.items() if n not in peers_here and t.last_seen_at < oldest]:
             del self.transfers[node]
         used = {id(transfer.content) for transfer in self.transfers.values()}
         self.whole_states = {key: content for key, content in self.whole_states.items() if id(content) in used}
--- a/zinctrail/consensus/voter_status.py
+++ b/zinctrail/consensus/voter_status.py
@@ -95,7 +95,7 @@
         return {'ack_ms': 0, 'generation': list(node.replica.committed), 'leased': name == node.node}
     is_current = node.leadership.leases.has_all_committed(peer, peer.responded_at)
     return {
-        'ack_ms': member_status.age_ms(node.now, peer.heard_at),
+        'ack_ms': member_status.age_ms(node.now, peer.last_seen_at),
         'generation': list(peer.committed),
-        'leased': is_current and node.now - peer.heard_at < node.settings.lease,
+        'leased': is_current and node.now - peer.last_seen_at < node.settings.lease,
     }
--- a/zinctrail/control/cluster_status.py
+++ b/zinctrail/control/cluster_status.py
@@ -47,8 +47,8 @@
     def _margins(self, routes_generation: int, epoch: int) -> Margins:
         controller = self.controller
         followers = [peer for peer in controller.peers.values() if peer.role != member_roles.CONTROL_NODE]
-        behind = [peer.heard_at for peer in followers if peer.committed[1] < routes_generation]
-        answered = [peer.heard_at for peer in followers]
+        behind = [peer.last_seen_at for peer in followers if peer.committed[1] < routes_generation]
+        answered = [peer.last_seen_at for peer in followers]
         claim_epochs = [claim['epoch'] for claim in controller.replica.get('claims').values()]
         lease = controller.settings.lease
         return {
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -118,7 +118,7 @@
         nodes += [
             node
             for node, peer in controller.peers.items()
-            if peer.role == member_roles.CONTROL_NODE and peer.heard_at >= fresh
+            if peer.role == member_roles.CONTROL_NODE and peer.last_seen_at >= fresh
         ]
         nodes = [node for node in nodes if node not in earlier_checkers] or nodes
         return min(nodes, key=lambda node: hashlib.blake2b(f'{node}/{incarnation}'.encode()).digest())
