--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -217,7 +217,7 @@
     host = context.host
     answer_heartbeats(host, 'p', (3, 9))
     host.run(500, lambda: answer_heartbeats(host, 'p', (3, 9)))
-    assert host.machine.peers['p'].answered_round
+    assert host.machine.peers['p'].responded_round
 
 
 @behave.when('the first version is in force, and b answers heartbeats for {duration:d} ms')
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -87,7 +87,7 @@
         grants_leases = grants_leases or everyone
         # Recorded at the start of the round: a lease may only be based on earlier responses.
         peers_asked = self.leadership.peers.items() if grants_leases else ()
-        before = {node: (peer.answered_round, peer.responded_at) for node, peer in peers_asked}
+        before = {node: (peer.responded_round, peer.responded_at) for node, peer in peers_asked}
         self.rounds[voter.heartbeat_round] = HeartbeatRound(voter.now, {voter.node}, grants_leases, before)
         self._forget_old_rounds()
         voting_set = voter.voting_set()
@@ -137,11 +137,11 @@
         peer.last_seen_at = voter.now
         if message.reads_chunks:
             voter.chunk_readers.add(peer.node)
-        if message.round > peer.answered_round:
-            if not peer.answered_round and 'lease_round' not in voter.timers:
+        if message.round > peer.responded_round:
+            if not peer.responded_round and 'lease_round' not in voter.timers:
                 # The member has no lease yet, so it serves no requests; a round that may grant it one starts soon.
                 voter.set_timer('lease_round', voter.settings.gather)
-            peer.answered_round, peer.responded_at = message.round, voter.now
+            peer.responded_round, peer.responded_at = message.round, voter.now
         peer.accepted = max(peer.accepted or (0, 0), message.accepted)
         # A control node's report counts even if it is lower: after a restart it no longer knows what was committed.
         peer.committed = message.committed if peer.is_control_node else max(peer.committed, message.committed)
--- a/zinctrail/consensus/peers.py
+++ b/zinctrail/consensus/peers.py
@@ -27,7 +27,7 @@
     notified_commit: tuple[int, int] = (0, 0)
     committed: tuple[int, int] = (0, 0)
     # The newest heartbeat round that the member responded to, and when that response came.
-    answered_round: int = 0
+    responded_round: int = 0
     responded_at: datetime.timedelta = durations.ZERO
     heartbeat_sent_at: datetime.timedelta = durations.ZERO
     # The round of the member's newest response that a lease may be based on, and when that response came.
