--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -341,7 +341,7 @@
         if other != machine.node:
             # The machine itself has the address of a.
             address = machine_host.address_of(other) if other != 'a' else '10.0.0.9:1000'
-            machine.note_node(address, other, 'core', seen=True)
+            machine.record_node(address, other, 'core', seen=True)
     machine.timers.pop('election', None)
     machine.election.plan()
     return machine.timers['election']
--- a/features/steps/first_start_steps.py
+++ b/features/steps/first_start_steps.py
@@ -166,7 +166,7 @@
         other.start()
         simulated.run(ms(10000))
         simulated.heal()
-        other.machine.note_node(simulated.nodes['core0'].location.addr, '', 'core')
+        other.machine.record_node(simulated.nodes['core0'].location.addr, '', 'core')
         context.first_start.run(simulated, ms(10000))
 
 
--- a/zinctrail/consensus/cluster_replacement.py
+++ b/zinctrail/consensus/cluster_replacement.py
@@ -53,7 +53,7 @@
     def on_probe_response(self, message: messages.ProbeResponse) -> None:
         """Record a probe response."""
 
-    def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
+    def record_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
         """Record a node that another node mentioned, or that was itself `seen`."""
 
     def restart_discovery(self) -> None:
@@ -95,7 +95,7 @@
         voter.raise_term(term)
         voter.accept((0, generation), storage.NO_VERSION, None, tables)
         for address in addresses:
-            voter.note_node(address)
+            voter.record_node(address)
         voter.restart_discovery()
 
     def announce_retired(self):
@@ -170,7 +170,7 @@
         # The other cluster has formed: without state, this node may only join it.
         voter.formation.forbid_formation()
         voter.bootstrap.restart()
-        voter.note_node(successor.address, successor.node, 'core', seen=True)
+        voter.record_node(successor.address, successor.node, 'core', seen=True)
         self.forget_unformed()
 
     def forget_unformed(self):
--- a/zinctrail/consensus/discovery.py
+++ b/zinctrail/consensus/discovery.py
@@ -35,7 +35,7 @@
         self.known_nodes: dict[str, KnownNode] = {}
         self.discovery_rounds = 0
 
-    def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False):
+    def record_node(self, address: str, node: str = '', role: str = '', seen: bool = False):
         """Record a node that another node mentioned, or that was itself `seen`."""
         if address == self.location.addr:
             return
@@ -95,7 +95,7 @@
 
     def on_probe(self, message: messages.Probe):
         """Record the probing node, and respond."""
-        self.note_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
+        self.record_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
         self.respond_to_probe(message.sender.address)
 
     def respond_to_probe(self, address: str):
@@ -119,11 +119,11 @@
 
     def on_probe_response(self, message: messages.ProbeResponse):
         """Record the nodes in the response, and ask to join the leader that it names."""
-        self.note_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
+        self.record_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
         for address, node, _ in message.control_nodes:
-            self.note_node(address, node, 'core')
+            self.record_node(address, node, 'core')
         for address in message.seeds:
-            self.note_node(address)
+            self.record_node(address)
         leader = message.leader
         if self.mode == 'candidate' and leader and leader['id'] != self.node and self.can_join():
             self.join(leader['addr'])
--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -65,7 +65,7 @@
     def log(self, text: str, event: str = '', **fields) -> None:
         """Log a sentence, with an event name and fields to search by."""
 
-    def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
+    def record_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
         """Record a node that another node mentioned, or that was itself `seen`."""
 
     def lose_leader(self, reason: str) -> None:
@@ -163,8 +163,8 @@
             return
         for node, row in voter.replica.get('members').items():
             if row['role'] == member_roles.CONTROL_NODE:
-                voter.note_node(row['addr'], node, member_roles.CONTROL_NODE, seen=True)
-        voter.note_node(
+                voter.record_node(row['addr'], node, member_roles.CONTROL_NODE, seen=True)
+        voter.record_node(
             codec.sender_of(message).address, codec.sender_of(message).node, member_roles.CONTROL_NODE, seen=True
         )
         voter.lose_leader('hands over')
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -222,9 +222,9 @@
 
     # -- records of every voter, as it may be the next leader -------------
 
-    def note_node(self, addr, node='', role='', seen=False):
+    def record_node(self, addr, node='', role='', seen=False):
         """Record a node, and the last known address of each control node."""
-        super().note_node(addr, node, role, seen)
+        super().record_node(addr, node, role, seen)
         if node and role == 'core':
             # Stored in addition to `known_nodes`, which holds only the newest identity at each address.
             self.control_node_addresses[node] = addr
--- a/zinctrail/consensus/member.py
+++ b/zinctrail/consensus/member.py
@@ -155,7 +155,7 @@
         self.lease_until = None
         self.heartbeats_received.clear()
         self.timers.pop('leader', None)
-        self.note_node(message.sender.address, message.sender.node, 'core', seen=True)
+        self.record_node(message.sender.address, message.sender.node, 'core', seen=True)
         self.forget_cluster()
 
     def forget_cluster(self):
@@ -213,7 +213,7 @@
         """Handle newly committed rows; None stands for the complete state."""
         if rows is None or any(row[0] == 'members' for row in rows):
             for node, row in self.replica.get('members').items():
-                self.note_node(row['addr'], node, row['role'])
+                self.record_node(row['addr'], node, row['role'])
         self.applied(rows)
 
     def applied(self, rows: replica.Rows | None) -> None:
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -106,7 +106,7 @@
             return
         self.persistence.start()
         for node, row in self.replica.whole().get('members', {}).items():
-            self.note_node(row['addr'], node, row['role'])
+            self.record_node(row['addr'], node, row['role'])
         super().on_start()
 
     def on_recv(self, frame: codec.Frame):
--- a/zinctrail/simulation/scale/hollow.py
+++ b/zinctrail/simulation/scale/hollow.py
@@ -33,10 +33,10 @@
             # No more, because nothing is sent, and the complete one shows what iterating over all members costs.
             self.set_timer('discovery', self.settings.probe)
 
-    def note_node(self, addr, node='', role='', seen=False):
+    def record_node(self, addr, node='', role='', seen=False):
         """Remember only control nodes, and strangers."""
         if role == 'core' or not node:
-            super().note_node(addr, node, role, seen)
+            super().record_node(addr, node, role, seen)
 
 
 class HollowProxy(Hollow, proxy_node.Proxy):
