--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -224,7 +224,7 @@
         """Count a member that has all up to the version it says it accepted: a term makes one line of versions."""
         if peer.accepted[0] != self.voter.term:
             return
-        self.leadership.voting_configuration.note_caught_up(peer)
+        self.leadership.voting_configuration.record_caught_up(peer)
         is_new = False
         for publication in self.in_flight:
             if publication.version > peer.accepted:
--- a/zinctrail/consensus/voting_configuration.py
+++ b/zinctrail/consensus/voting_configuration.py
@@ -110,7 +110,7 @@
             and self.voter.replica.accepted[1] - peer.accepted[1] <= 2 * replication.IN_FLIGHT_MOST
         )
 
-    def note_caught_up(self, peer: peers.Peer):
+    def record_caught_up(self, peer: peers.Peer):
         """Reconfigure at once if a control node has just caught up: the next heartbeat interval would be too late."""
         if peer.is_control_node and peer.node not in self.caught_up and self.is_nearly_caught_up(peer):
             self.caught_up.add(peer.node)
