--- a/zinctrail/consensus/leases.py
+++ b/zinctrail/consensus/leases.py
@@ -31,7 +31,7 @@
         # The newest commits of this term, the oldest first.
         self.commits: collections.deque[Commit] = collections.deque(maxlen=MAX_COMMITS)
 
-    def note_commit(self, version: tuple[int, int], changes_routes: bool):
+    def record_commit(self, version: tuple[int, int], changes_routes: bool):
         """Record that a version was committed now."""
         self.commits.append(Commit(version, self.voter.now, changes_routes))
 
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -242,7 +242,7 @@
         if not done:
             return
         for publication in done:
-            self.leadership.leases.note_commit(publication.version, publication.changes_routes)
+            self.leadership.leases.record_commit(publication.version, publication.changes_routes)
         voter.rows_committed(voter.replica.commit(done[-1].version))
         for publication in done:
             for pending in publication.results:
