--- a/features/steps/core_returns_steps.py
+++ b/features/steps/core_returns_steps.py
@@ -62,7 +62,7 @@
 
     def look():
         for process in rig.with_role('prox'):
-            if process.is_up and process.machine.leased():
+            if process.is_up and process.machine.has_lease():
                 context.leased_at.setdefault(process.address, rig.now)
         rig.at(rig.now + durations.ms(10), look)
 
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -50,7 +50,7 @@
     'fences and noticing': [(fenced_reads.FencedReads, 'fence', lambda self, callback: callback(True)), NO_NOTICING],
     'quorums for commits': [(replication, 'replica', ANY_QUORUM)],
     'leases': [
-        (controller.Controller, 'leased', lambda self: True),
+        (controller.Controller, 'has_lease', lambda self: True),
         (controller.Controller, 'lease_left', lambda self: ms(2000)),
     ],
     'lock terms': [(lock_expiry.LockExpiry, 'time_kept', lambda self, lease_ms: ms(lease_ms / 4))],
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -143,7 +143,7 @@
     kill_control_nodes(context)
     context.world.run(ms(100))
     proxy = context.world.of('prox')[0]
-    assert proxy.machine.leased() and not proxy.machine.leader
+    assert proxy.machine.has_lease() and not proxy.machine.leader
     _, context.response = send_request(context, proxy, left)
 
 
--- a/features/steps/ops_logs_steps.py
+++ b/features/steps/ops_logs_steps.py
@@ -83,7 +83,7 @@
 
     def has_another_leader():
         leader = simulated.leader()
-        return leader and leader is not context.first_leader and all(node.machine.leased() for node in others)
+        return leader and leader is not context.first_leader and all(node.machine.has_lease() for node in others)
 
     assert simulated.run(ms(20000), has_another_leader)
 
@@ -99,7 +99,7 @@
         node.location.seeds = [control_node.location.addr for control_node in simulated.of('core')]
         node.start()
         node.machine.request_sampler = request_sampling.RequestSampler(sampled_share)
-    assert simulated.run(ms(30000), lambda: simulated.leader() and all(node.machine.leased() for node in nodes))
+    assert simulated.run(ms(30000), lambda: simulated.leader() and all(node.machine.has_lease() for node in nodes))
     return simulated
 
 
--- a/features/steps/ops_restart_steps.py
+++ b/features/steps/ops_restart_steps.py
@@ -16,7 +16,7 @@
     for node in nodes:
         node.location.seeds = [control_node.location.addr for control_node in simulated.of('core')][:MAX_SEEDS]
         node.start()
-    assert simulated.run(ms(30000), lambda: simulated.leader() and all(node.machine.leased() for node in nodes))
+    assert simulated.run(ms(30000), lambda: simulated.leader() and all(node.machine.has_lease() for node in nodes))
 
 
 def log_lengths(simulated):
@@ -52,7 +52,7 @@
     context.full_states = simulated.leader().machine.counts['full']
     for index, proxy in enumerate(proxies):
         simulated.after(ms(7 * index), proxy.start)
-    assert simulated.run(ms(20000), lambda: all(proxy.up and proxy.machine.leased() for proxy in proxies))
+    assert simulated.run(ms(20000), lambda: all(proxy.up and proxy.machine.has_lease() for proxy in proxies))
     simulated.run(ms(1000))
 
 
--- a/features/steps/refusals_proxy_steps.py
+++ b/features/steps/refusals_proxy_steps.py
@@ -164,7 +164,7 @@
         context.proxy.run(100)
         # The leader is there, and grants nothing.
         context.proxy.recv('b', 'chk', term=3, to=context.proxy.machine.node, round=100 + number, http='')
-    assert context.proxy.machine.leader and not context.proxy.machine.leased()
+    assert context.proxy.machine.leader and not context.proxy.machine.has_lease()
 
 
 @behave.then('its caller was answered once')
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -131,7 +131,7 @@
 def heartbeat_is_refused(context, term: int):
     (answer,) = context.host.sent('chk_re')
     assert answer.get('no') is True and answer['term'] == term, answer
-    assert not context.host.machine.leased()
+    assert not context.host.machine.has_lease()
 
 
 @behave.when('d of term {term:d} asks to be a member')
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -199,7 +199,7 @@
 
 @behave.then('it has no lease from that')
 def proxy_has_no_lease_from_grant(context):
-    assert not context.host.machine.leased()
+    assert not context.host.machine.has_lease()
 
 
 @behave.when('a day of {faults} with the shape of many runs under seed {seed:d}')
--- a/features/support/following_proxy.py
+++ b/features/support/following_proxy.py
@@ -60,7 +60,7 @@
         self.renew_lease()
         self.recv('b', 'pub', term=3, at=VERSION, full=tables(runs_once), http='')
         self.recv('b', 'com', term=3, at=VERSION, http='')
-        assert self.machine.leased()
+        assert self.machine.has_lease()
 
     def feed(self, kind: str, *arguments) -> list:
         """Give the machine an input; its sends, fetches and responses are kept."""
--- a/features/support/lookup_directory.py
+++ b/features/support/lookup_directory.py
@@ -58,7 +58,7 @@
         self.routes = routing_table.RoutingTable(state)
         self.proxy_lookup = proxy_lookup.ProxyLookup(self)
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """It may always act on its state."""
         return True
 
--- a/features/support/simulated_platform.py
+++ b/features/support/simulated_platform.py
@@ -37,7 +37,7 @@
 
     def is_ready(self) -> bool:
         """Whether there is a leader and every proxy holds a lease."""
-        return bool(self.world.leader() and all(node.machine.leased() for node in self.world.of('prox')))
+        return bool(self.world.leader() and all(node.machine.has_lease() for node in self.world.of('prox')))
 
     def send(self, method: str, path: str, document: typing.Any = None, raw: bytes | None = None, node=None) -> list:
         """Send a call and return at once; the list that comes back gets the response."""
--- a/zinctrail/consensus/following.py
+++ b/zinctrail/consensus/following.py
@@ -147,13 +147,13 @@
             if self.lease_until is None or until > self.lease_until:
                 self.lease_until = until
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """True if this node holds a valid lease, so that it may act on its state."""
         return self.lease_until is not None and self.now < self.lease_until
 
     def lease_left(self) -> datetime.timedelta:
         """Return the remaining time of the lease; zero without a valid lease."""
-        return self.lease_until - self.now if self.leased() else durations.ZERO
+        return self.lease_until - self.now if self.has_lease() else durations.ZERO
 
     def on_step_down(self, message: messages.StepDown):
         """Look for a new leader at once, without the timeout, as the leader itself reports that it stepped down."""
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -75,7 +75,7 @@
 
     # -- leases -----------------------------------------------------------
 
-    def leased(self):
+    def has_lease(self):
         """Whether this node may act on its state; a leader by what a quorum answered to its heartbeats."""
         if self.is_leader:
             # A leader's lease is as long as the others', which go on acting on what it sent them for that long.
@@ -83,14 +83,14 @@
                 self.replica.committed[0] == self.term
                 and self.now < self.leadership.heartbeats.quorum_at + self.settings.lease
             )
-        return super().leased()
+        return super().has_lease()
 
     def lease_left(self):
         """How long it may go on doing so."""
         if self.is_leader:
             return (
                 self.leadership.heartbeats.quorum_at + self.settings.lease - self.now
-                if self.leased()
+                if self.has_lease()
                 else durations.ZERO
             )
         return super().lease_left()
--- a/zinctrail/control/controller_part.py
+++ b/zinctrail/control/controller_part.py
@@ -64,7 +64,7 @@
     def peers(self) -> dict[str, peers.Peer]:
         """The other members, as their leader knows them; empty where this node does not lead."""
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this node may act on its state."""
 
     def status(self) -> dict[str, typing.Any]:
--- a/zinctrail/control/endpoint_registry.py
+++ b/zinctrail/control/endpoint_registry.py
@@ -59,7 +59,7 @@
         incarnation = heartbeat['inc']
         if (
             controller.mode == 'follower'
-            and controller.leased()
+            and controller.has_lease()
             and heartbeat['state'] != heartbeats.LEAVING
             and heartbeats.is_unchanged(controller.replica.get(TABLE, incarnation), heartbeats.to_row(heartbeat))
         ):
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -42,7 +42,7 @@
     replica: replica.Replica
     routes: routing_table.RoutingTable
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this node may act on its state."""
 
     def lease_left(self) -> datetime.timedelta:
@@ -77,7 +77,7 @@
             raise errors.BadRequestError('cell and host must be texts')
         if isinstance(most, bool) or not isinstance(most, int) or not 1 <= most <= PROXIES_MOST:
             raise errors.BadRequestError(f'most must be a whole number from 1 to {PROXIES_MOST}')
-        if not self.member.leased():
+        if not self.member.has_lease():
             # A client would go on acting on a stale answer, so none is given.
             raise errors.UnavailableError(
                 'no lease on the state', elsewhere=self._others(member_roles.DIRECTORY), retry_ms=RETRY_WITHOUT_LEASE_MS
--- a/zinctrail/directory/daemon.py
+++ b/zinctrail/directory/daemon.py
@@ -48,7 +48,7 @@
     def ready(self) -> tuple[bool, str]:
         """Not ready without a lease on the state, since no lookup can be answered then."""
         is_ready, reason = self.http_api.readiness()
-        if is_ready and not self.leased():
+        if is_ready and not self.has_lease():
             return False, 'no lease'
         return is_ready, reason
 
@@ -126,7 +126,7 @@
     def on_credit_request(self, message: traffic_messages.CreditRequest) -> None:
         """A proxy asks for credit."""
         ledger, proxy = self.ledgers.get(message.pool), codec.sender_of(message)
-        if ledger is None or ledger.fencing_token != message.fencing_token or not self.leased():
+        if ledger is None or ledger.fencing_token != message.fencing_token or not self.has_lease():
             return
         if proxy.node not in self.routes.members(member_roles.PROXY):
             return
--- a/zinctrail/proxy/credit.py
+++ b/zinctrail/proxy/credit.py
@@ -205,7 +205,7 @@
         """Tell the pool's ledger what this proxy needs, not more often than once an interval."""
         pool = self.pool_credit(name)
         duty = self.proxy.replica.get('duties', f'keeper/{name}')
-        if duty is None or not self.proxy.leased():
+        if duty is None or not self.proxy.has_lease():
             return
         if pool.requested_at is not None and self.proxy.now - pool.requested_at < interval:
             self.proxy.set_timer_by('credit_requests', pool.requested_at + interval)
--- a/zinctrail/proxy/hedging.py
+++ b/zinctrail/proxy/hedging.py
@@ -53,7 +53,7 @@
 
     def hedge(self, request: Request) -> None:
         """Send a request to a second endpoint, if rule, budget and endpoints allow."""
-        if not self.proxy.open_upstream.may_send_again(request) or not self.proxy.leased():
+        if not self.proxy.open_upstream.may_send_again(request) or not self.proxy.has_lease():
             return
         request.tried.update(request.in_flight.values())
         try:
--- a/zinctrail/proxy/open_pipeline.py
+++ b/zinctrail/proxy/open_pipeline.py
@@ -52,7 +52,7 @@
         raise refusals.Unavailable('leaving', RETRY_LEAVING_MS)
     if len(proxy.runner.requests) > proxy.settings.queue_most:
         raise refusals.Unavailable('busy', retry_ms(proxy, request))
-    if not proxy.leased():
+    if not proxy.has_lease():
         if proxy.now >= request.received_at + LEASE_WAIT:
             raise no_lease(proxy, request)
         proxy.open_queue.add(request, request.received_at + LEASE_WAIT)
@@ -87,7 +87,7 @@
     if request.send_count:
         # Looked at before the choice: a retry that the budget refuses need not wait for room.
         proxy.retry_budgets.require(request)
-    if not proxy.leased():
+    if not proxy.has_lease():
         # Looked at again: it may have waited, or been sent before, and the state may be outdated since.
         raise no_lease(proxy, request)
     incarnation = proxy.endpoint_selection.choose_endpoint(request)
--- a/zinctrail/proxy/pipeline.py
+++ b/zinctrail/proxy/pipeline.py
@@ -87,7 +87,7 @@
 
 def require_lease(proxy: proxy_part.ProxyNode, request: Request) -> None:
     """Refuse it while this proxy may not act on the state that it holds; a proxy with a lease can serve it."""
-    if not proxy.leased():
+    if not proxy.has_lease():
         raise refusals.Unavailable(
             'no lease on the state', RETRY_NO_LEASE_MS, elsewhere=proxy.other_proxies(request.allowed_regions)
         )
--- a/zinctrail/proxy/proxy_part.py
+++ b/zinctrail/proxy/proxy_part.py
@@ -74,7 +74,7 @@
     request_metrics: 'request_metrics.RequestMetrics'
     shutdown: 'shutdown.Shutdown'
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this proxy may act on the state that it holds."""
 
     def next_number(self) -> int:
--- a/zinctrail/proxy/shutdown.py
+++ b/zinctrail/proxy/shutdown.py
@@ -62,7 +62,7 @@
         """Whether traffic may be sent here, else why not."""
         if self.proxy.stopping:
             return False, 'leaving'
-        if not self.proxy.leased():
+        if not self.proxy.has_lease():
             return False, 'no lease'
         if self.proxy.routes.is_evacuated(self.proxy.location.cell):
             return False, 'evacuated'
--- a/zinctrail/simulation/scale/losses.py
+++ b/zinctrail/simulation/scale/losses.py
@@ -82,7 +82,7 @@
     machine = process.machine
     if not process.is_up or machine.node not in leader.machine.replica.get('members'):
         return False
-    if machine.replica.committed[1] < machine.replica.accepted[1] or not machine.leased():
+    if machine.replica.committed[1] < machine.replica.accepted[1] or not machine.has_lease():
         return False
     routes = consensus_member.as_version(leader.machine.replica.get('meta', 'routes'))
     return leader.machine.peers[machine.node].committed[1] >= routes[1]
--- a/zinctrail/simulation/scale/rig.py
+++ b/zinctrail/simulation/scale/rig.py
@@ -236,7 +236,7 @@
         self.run(SETTLING_TIME)
         for process in self.control_nodes:
             process.machine.assumes_members_current = False
-        without_lease = [process for process in self.members() if not process.machine.leased()]
+        without_lease = [process for process in self.members() if not process.machine.has_lease()]
         if without_lease:
             raise AssertionError(f'{len(without_lease)} without a lease at the start')
 
