--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -51,7 +51,7 @@
     'quorums for commits': [(replication, 'replica', ANY_QUORUM)],
     'leases': [
         (controller.Controller, 'has_lease', lambda self: True),
-        (controller.Controller, 'lease_left', lambda self: ms(2000)),
+        (controller.Controller, 'lease_remaining', lambda self: ms(2000)),
     ],
     'lock terms': [(lock_expiry.LockExpiry, 'time_kept', lambda self, lease_ms: ms(lease_ms / 4))],
     'refusals told as 503': [(http_api, 'to_response', respond_with_inner_status)],
--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -71,7 +71,7 @@
     # Credit too, because it lapses by itself and would hide that the routing table is stale.
     return bounds_with(credit=ms(60000)) + [
         mock.patch.object(member.Member, 'has_lease', lambda self: True),
-        mock.patch.object(member.Member, 'lease_left', lambda self: ms(2400)),
+        mock.patch.object(member.Member, 'lease_remaining', lambda self: ms(2400)),
     ]
 
 
--- a/features/support/lookup_directory.py
+++ b/features/support/lookup_directory.py
@@ -62,7 +62,7 @@
         """It may always act on its state."""
         return True
 
-    def lease_left(self) -> datetime.timedelta:
+    def lease_remaining(self) -> datetime.timedelta:
         """How long the lease lasts yet."""
         return durations.ms(1000)
 
--- a/zinctrail/consensus/following.py
+++ b/zinctrail/consensus/following.py
@@ -151,7 +151,7 @@
         """True if this node holds a valid lease, so that it may act on its state."""
         return self.lease_until is not None and self.now < self.lease_until
 
-    def lease_left(self) -> datetime.timedelta:
+    def lease_remaining(self) -> datetime.timedelta:
         """Return the remaining time of the lease; zero without a valid lease."""
         return self.lease_until - self.now if self.has_lease() else durations.ZERO
 
--- a/zinctrail/consensus/member_status.py
+++ b/zinctrail/consensus/member_status.py
@@ -24,7 +24,7 @@
         yield metrics.gauge(
             'lease_seconds',
             'What is left of the lease; 0: acts on nothing.',
-            max(0.0, self.lease_left().total_seconds()),
+            max(0.0, self.lease_remaining().total_seconds()),
         )
         yield metrics.by_label(
             metrics.GAUGE,
@@ -66,7 +66,7 @@
             'master': self.leader,
             'accepted': list(self.replica.accepted),
             'generation': list(self.replica.committed),
-            'lease_ms': max(0, durations.to_ms(self.lease_left())),
+            'lease_ms': max(0, durations.to_ms(self.lease_remaining())),
             'partners': len(self.known_nodes),
             'bad_frames': self.bad_frames,
             'host': self.figures(),
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -85,7 +85,7 @@
             )
         return super().has_lease()
 
-    def lease_left(self):
+    def lease_remaining(self):
         """How long it may go on doing so."""
         if self.is_leader:
             return (
@@ -93,7 +93,7 @@
                 if self.has_lease()
                 else durations.ZERO
             )
-        return super().lease_left()
+        return super().lease_remaining()
 
     # -- leadership -------------------------------------------------------
 
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -45,7 +45,7 @@
     def has_lease(self) -> bool:
         """Whether this node may act on its state."""
 
-    def lease_left(self) -> datetime.timedelta:
+    def lease_remaining(self) -> datetime.timedelta:
         """How long it may go on doing so."""
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
@@ -144,7 +144,7 @@
 
     def _time_to_live_ms(self) -> int:
         """How long a client may use the answer: never beyond the lease that it rests on."""
-        return max(1, durations.to_ms(min(self.member.settings.answer, self.member.lease_left())))
+        return max(1, durations.to_ms(min(self.member.settings.answer, self.member.lease_remaining())))
 
 
 def page_answer(
