--- a/features/support/random_core_faults.py
+++ b/features/support/random_core_faults.py
@@ -99,7 +99,7 @@
             return False
         committed = voting_world.committed_voting_set(leader)
         is_settled = committed == leader.machine.voting_set() and not voting_world.is_joint(committed)
-        return is_settled and leader.machine.losses_borne() >= 1
+        return is_settled and leader.machine.losses_tolerated() >= 1
 
     def cause_fault(self) -> None:
         """Cause a random fault, if it can be borne now."""
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -131,9 +131,9 @@
         if self.is_leader:
             self.leadership.voting_configuration.reconfigure()
 
-    def losses_borne(self) -> int | None:
+    def losses_tolerated(self) -> int | None:
         """Return how many more voters may be lost now; None unless this node leads."""
-        return self.leadership.voting_configuration.losses_borne() if self.is_leader and self.voting_set() else None
+        return self.leadership.voting_configuration.losses_tolerated() if self.is_leader and self.voting_set() else None
 
     def voting_set_waits(self) -> list[str]:
         """Return descriptions of the conditions that a better voting set waits for."""
--- a/zinctrail/consensus/voter_status.py
+++ b/zinctrail/consensus/voter_status.py
@@ -36,7 +36,7 @@
 def leader_measures(node: 'voter.Voter') -> typing.Iterator[tuple]:
     """Yield the additional rows of a leader."""
     yield metrics.gauge(
-        'losses_borne', 'Voters that may be lost now and a majority still be there.', node.losses_borne()
+        'losses_borne', 'Voters that may be lost now and a majority still be there.', node.losses_tolerated()
     )
     yield metrics.gauge(
         'voting_set_waits', 'What a better voting set waits for: how many things.', len(node.voting_set_waits())
@@ -67,7 +67,7 @@
     return document | {
         'unfit': node.disk_failed,
         'voters': node.voting_set(),
-        'losses_borne': node.losses_borne(),
+        'losses_borne': node.losses_tolerated(),
         'voting_set_waits': node.voting_set_waits(),
         'counts': dict(node.counts),
         'queue': waiting_changes(node),
--- a/zinctrail/consensus/voting_configuration.py
+++ b/zinctrail/consensus/voting_configuration.py
@@ -236,7 +236,7 @@
 
     # -- status -----------------------------------------------------------
 
-    def losses_borne(self) -> int:
+    def losses_tolerated(self) -> int:
         """Return how many more voters may be lost now while each set keeps a majority; -1 without a majority."""
         voting_set = self.voter.voting_set()
         live = self.live_control_nodes()
