--- a/zinctrail/consensus/leader_part.py
+++ b/zinctrail/consensus/leader_part.py
@@ -86,7 +86,7 @@
     def tick_leader(self) -> None:
         """Run the role's periodic work in each heartbeat interval."""
 
-    def member_gone(self, transaction, node: str) -> None:
+    def member_removed(self, transaction, node: str) -> None:
         """Clean up after a removed member."""
 
 
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -97,7 +97,7 @@
     def tick_leader(self):
         """Hook of the role: run a leader's periodic work in each heartbeat interval."""
 
-    def member_gone(self, transaction: transactions.Transaction, node: str):
+    def member_removed(self, transaction: transactions.Transaction, node: str):
         """Hook of the role: clean up after a removed member."""
 
     # -- operations of a leader -------------------------------------------
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -143,7 +143,7 @@
 
         def drop(transaction):
             transaction.drop('members', node)
-            voter.member_gone(transaction, node)
+            voter.member_removed(transaction, node)
             return {'status': 200}
 
         voter.submit(drop, lambda result: self.removals.pop(node, None))
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -190,7 +190,7 @@
         """A member shuts down soon."""
         self.singleton_roles.on_draining(message)
 
-    def member_gone(self, transaction: transactions.Transaction, node: str):
+    def member_removed(self, transaction: transactions.Transaction, node: str):
         """A member was dropped: its singleton roles go to others in the same transaction."""
         self.singleton_roles.place(transaction)
 
