--- a/features/steps/scale_steps.py
+++ b/features/steps/scale_steps.py
@@ -123,7 +123,7 @@
         voter.Voter, 'frame', with_longer_heartbeats(member.Member.frame)
     ),
     'each change is published twice': lambda: mock.patch.object(
-        hollow.WarmUpdates, 'offer', twice(hollow.WarmUpdates.offer)
+        hollow.WarmUpdates, 'send_missing', twice(hollow.WarmUpdates.send_missing)
     ),
 }
 
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -169,7 +169,7 @@
             return
         if peer.accepted != updates.latest_for(peer):
             peer.sent_version, peer.notified_commit = None, (0, 0)
-            updates.offer(peer)
+            updates.send_missing(peer)
         elif peer.committed < updates.committed_for(peer):
             peer.notified_commit = (0, 0)
             updates.notify_commit(peer)
--- a/zinctrail/consensus/member_updates.py
+++ b/zinctrail/consensus/member_updates.py
@@ -58,7 +58,7 @@
                 return None
         return rows, [change.at for change in reversed(changes)][1:]
 
-    def offer(self, peer: peers.Peer):
+    def send_missing(self, peer: peers.Peer):
         """Send a member what it lacks: the changes since its version, or the complete state."""
         transfers = self.leadership.state_transfers
         if peer.sent_version is None:
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -60,7 +60,7 @@
             peer = self.add_peer(node, row)
             if peer:
                 if peer.accepted != updates.latest_for(peer):
-                    updates.offer(peer)
+                    updates.send_missing(peer)
                 updates.notify_commit(peer)
                 self.leadership.heartbeats.send_heartbeat(peer)
 
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -183,7 +183,7 @@
                 self.leadership.membership.add_peer(node, row)
         for peer in self.leadership.peers.values():
             if peer.is_control_node or (changes_routes and not self.owes_answer(peer)):
-                self.leadership.member_updates.offer(peer)
+                self.leadership.member_updates.send_missing(peer)
 
     def owes_answer(self, peer):
         """Whether a member that does not vote has not yet answered for the last version it was sent.
@@ -213,7 +213,7 @@
         if not self.is_current or peer.node not in self.leadership.peers:
             return
         if peer.accepted != self.leadership.member_updates.latest_for(peer) and self._may_offer_again(peer):
-            self.leadership.member_updates.offer(peer)
+            self.leadership.member_updates.send_missing(peer)
         self.leadership.member_updates.notify_commit(peer)
 
     def _may_offer_again(self, peer):
--- a/zinctrail/simulation/scale/hollow.py
+++ b/zinctrail/simulation/scale/hollow.py
@@ -58,11 +58,11 @@
 
     voter: WarmVoter
 
-    def offer(self, peer):
+    def send_missing(self, peer):
         """Offer the newest version to a member."""
         if self.voter.assumes_members_current and peer.accepted is None and not peer.is_control_node:
             peer.accepted = state.VERSION
-        super().offer(peer)
+        super().send_missing(peer)
 
 
 class WarmController(controller.Controller):
