--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -83,7 +83,7 @@
     def is_watch(self, operation: str) -> bool:
         """True if the operation waits for events without a time limit."""
 
-    def only_reads(self, operation: str) -> bool:
+    def is_read_only(self, operation: str) -> bool:
         """True if the operation is known to be read-only."""
 
 
@@ -221,7 +221,7 @@
         """Respond to the calls of a node that does not lead; those never sent to a leader were certainly not executed."""
         waiting, self.voter.pending_operations = self.voter.pending_operations, {}
         for pending in waiting.values():
-            if pending.sends and not self.voter.only_reads(pending.operation):
+            if pending.sends and not self.voter.is_read_only(pending.operation):
                 pending.callback(dict(results.LOST))
             else:
                 pending.callback(dict(NO_MAJORITY, unknown=False))
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -441,7 +441,7 @@
         """True if the operation waits for events without a time limit."""
         return False
 
-    def only_reads(self, operation: str) -> bool:
+    def is_read_only(self, operation: str) -> bool:
         """True if the operation is known to be read-only."""
         return False
 
--- a/zinctrail/control/leader_operations.py
+++ b/zinctrail/control/leader_operations.py
@@ -78,7 +78,7 @@
         """Whether an operation waits for events."""
         return operation in watches.OPERATIONS
 
-    def only_reads(self, operation: str) -> bool:
+    def is_read_only(self, operation: str) -> bool:
         """Whether an operation certainly changes nothing."""
         # A heartbeat may register an endpoint.
         return operation in READS and operation != 'beat'
