--- a/zinctrail/consensus/following.py
+++ b/zinctrail/consensus/following.py
@@ -142,7 +142,7 @@
         """Extend the lease to its full length from the receipt of the heartbeat of `granted_round`."""
         received_at = self.heartbeats_received.get(granted_round)
         if received_at is not None:
-            self.leader_received(received_at)
+            self.record_leader_received(received_at)
             until = received_at + self.settings.lease
             if self.lease_until is None or until > self.lease_until:
                 self.lease_until = until
@@ -180,5 +180,5 @@
         self.timers.pop('leader', None)
         self.restart_discovery()
 
-    def leader_received(self, sent_at: datetime.timedelta):
+    def record_leader_received(self, sent_at: datetime.timedelta):
         """Handle proof, in a message of the leader, that it received what we sent at `sent_at`."""
--- a/zinctrail/consensus/operation_requests.py
+++ b/zinctrail/consensus/operation_requests.py
@@ -155,7 +155,7 @@
         if pending is None:
             return
         if pending.first_sent_at is not None:
-            self.leader_received(pending.first_sent_at)
+            self.record_leader_received(pending.first_sent_at)
         if message.result.get('status') == results.NO_LEADER['status']:
             # The sender does not lead any more; the operation is sent to the next leader once that is followed.
             return
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -352,7 +352,7 @@
         """Check whether contact with the majority is lost."""
         self.majority_contact.on_timer()
 
-    def leader_received(self, sent_at: datetime.timedelta):
+    def record_leader_received(self, sent_at: datetime.timedelta):
         """Handle proof, in a message of the leader, that it received what we sent at `sent_at`."""
         self.majority_contact.record_received(sent_at)
 
