--- a/features/steps/edge_disk_steps.py
+++ b/features/steps/edge_disk_steps.py
@@ -179,7 +179,7 @@
         voter_host.peers.send = lambda address, frame, packs: None
         voter_host.feed('start')
         if voter.is_empty():
-            voter.formation.take_first_version('c' * 32, [voter.node])
+            voter.formation.accept_first_version('c' * 32, [voter.node])
         for number in range(first_number, first_number + VERSIONS_PER_LIFE):
             take_version(voter_host, voter, number)
         voter.persistence.write_snapshot()
--- a/features/support/voter_history.py
+++ b/features/support/voter_history.py
@@ -111,7 +111,7 @@
 
 SMALL_STATE: list[Step] = [
     write_identity,
-    lambda node: node.formation.take_first_version('c', VOTERS),
+    lambda node: node.formation.accept_first_version('c', VOTERS),
     raise_term(1, 'a'),
     accept_rows(1, 2),
     accept_rows(1, 3),
--- a/zinctrail/consensus/formation.py
+++ b/zinctrail/consensus/formation.py
@@ -205,12 +205,12 @@
             cluster=proposal.cluster,
             nodes=proposal.nodes,
         )
-        self.take_first_version(proposal.cluster, proposal.nodes)
+        self.accept_first_version(proposal.cluster, proposal.nodes)
         self.distribute_first_version()
 
     # -- the first version ----------------------------------------------------
 
-    def take_first_version(self, cluster: str, nodes: list[str]) -> None:
+    def accept_first_version(self, cluster: str, nodes: list[str]) -> None:
         """Accept the first version of a new cluster, whose voters are `nodes`."""
         self.voter.cluster = cluster
         self.voter.joining_new_cluster()
@@ -233,7 +233,7 @@
         cluster = codec.sender_of(message).cluster
         is_promised = self.promised is not None and self.promised['cluster'] == cluster
         if is_promised and self.voter.is_empty() and not self.voter.stopping:
-            self.take_first_version(cluster, message.view)
+            self.accept_first_version(cluster, message.view)
         is_accepted = self.voter.cluster == cluster and self.voter.replica.accepted >= FIRST_VERSION
         self.voter.send_message(codec.sender_of(message).address, messages.BootstrapResponse(is_accepted=is_accepted))
 
