--- a/features/support/scripted_endpoints.py
+++ b/features/support/scripted_endpoints.py
@@ -124,7 +124,7 @@
         # Alone and long there, so that the shared bound on repeats lends it all of the allowance.
         machine.retry_budgets.sharers = retry_budget.BudgetSharers(machine.settings, machine.now - ms(60000))
         machine.lease_until = machine.now + ms(10**9)
-        rows = [['members', 'm', dict(machine.member(), level=1)]]
+        rows = [['members', 'm', dict(machine.member_row(), level=1)]]
         rows += [self.listen_as(f'e{index}') for index in range(endpoint_count)]
         rows += [['items', f'rules/{name}', {'v': 1, 'row': rule_row(name)}] for name in ('once', 'often')]
         rows.append(['items', 'pools/s', {'v': 1, 'row': POOL}])
--- a/zinctrail/consensus/discovery.py
+++ b/zinctrail/consensus/discovery.py
@@ -73,7 +73,7 @@
         for address in self.discovery_targets():
             self.send_message(
                 address,
-                messages.Probe(member=self.member(), seeds=self.location.seeds, **self.discovery_details()),
+                messages.Probe(member=self.member_row(), seeds=self.location.seeds, **self.discovery_details()),
             )
         oldest = self.now - self.settings.remember
         members = {row['addr'] for row in self.replica.get('members').values()}
@@ -108,7 +108,7 @@
         self.send_message(
             address,
             messages.ProbeResponse(
-                member=self.member(),
+                member=self.member_row(),
                 term=self.term,
                 leader=self.leader,
                 control_nodes=sorted(control_nodes),
@@ -132,7 +132,7 @@
         """Ask the leader at `address` to admit this node as a member."""
         self.send_message(
             address,
-            messages.Join(member=self.member(), accepted=self.replica.accepted, term=self.term, reads_chunks=True),
+            messages.Join(member=self.member_row(), accepted=self.replica.accepted, term=self.term, reads_chunks=True),
         )
 
     def can_join(self) -> bool:
--- a/zinctrail/consensus/election.py
+++ b/zinctrail/consensus/election.py
@@ -59,7 +59,7 @@
     def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
 
-    def member(self) -> messages.MemberRow:
+    def member_row(self) -> messages.MemberRow:
         """Return the row that describes this process in the `members` table."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
@@ -238,7 +238,9 @@
         voter.log(f'Votes for {candidate} in term {voter.term}.', 'vote', term=voter.term, node=candidate)
         voter.send_message(
             codec.sender_of(message).address,
-            messages.Vote(term=voter.term, accepted=voter.replica.accepted, member=voter.member(), reads_chunks=True),
+            messages.Vote(
+                term=voter.term, accepted=voter.replica.accepted, member=voter.member_row(), reads_chunks=True
+            ),
         )
 
     def on_vote(self, message: messages.Vote):
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -45,7 +45,7 @@
         self.election.won()
         self.leadership = leadership.Leadership(self, self.member_updates_type)
         self.leadership.membership.add_elected_peers(votes)
-        votes[self.node] = self.member()
+        votes[self.node] = self.member_row()
 
         def first(transaction):
             for node, row in votes.items():
--- a/zinctrail/consensus/member.py
+++ b/zinctrail/consensus/member.py
@@ -80,7 +80,7 @@
         """Send a message."""
         self.send(address, self.frame(message))
 
-    def member(self) -> messages.MemberRow:
+    def member_row(self) -> messages.MemberRow:
         """Return the row that describes this process in the `members` table."""
         row = {
             'role': self.role,
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -201,7 +201,7 @@
         if not self.is_empty() or self.disk_failed or self.stopping:
             raise errors.ConflictError('is no empty control node')
         cluster = uuid.UUID(int=self.rng.getrandbits(128), version=4).hex
-        start = recovery.initial_state(body, cluster, self.node, self.member())
+        start = recovery.initial_state(body, cluster, self.node, self.member_row())
         self.log(f'Recovers cluster {body["cluster"]} as {cluster}, from generation {body["generation"]}.')
         self.cluster_replacement.begin(
             cluster,
