--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -121,7 +121,7 @@
     assert len(gaps) > 2 and max(gaps) < most, gaps
     member = f'Member {context.node.machine.node}'
     lines = [text for time, text in context.rig.world.lines if time > context.since]
-    assert not [text for text in lines if member in text and 'is gone' in text]
+    assert not [text for text in lines if member in text and 'removed:' in text]
 
 
 @behave.then('the bytes of pieces sent are at most {times:g} times those of the state')
--- a/zinctrail/consensus/bootstrap.py
+++ b/zinctrail/consensus/bootstrap.py
@@ -76,7 +76,7 @@
     discovery_rounds: int
 
     def is_forming(self) -> bool:
-        """True if this node knows of no fully formed cluster that it belongs to."""
+        """True if this node belongs to no cluster that is known to have formed."""
 
     def reachable_control_nodes(self) -> dict[str, str]:
         """Return the control nodes seen recently: {node: address}."""
@@ -121,7 +121,7 @@
         """Record the control nodes and the formation state that a node reported in its probe response."""
         self.probe_views[codec.sender_of(message).node] = ProbeView(
             self.voter.now,
-            [node for _, node, answers in message.control_nodes if node and answers],
+            [node for _, node, is_reachable in message.control_nodes if node and is_reachable],
             message.view,
             message.has_enough_seeds or False,
             codec.sender_of(message).cluster,
@@ -165,8 +165,8 @@
     def has_enough_seeds(self) -> bool:
         """True if at least two thirds of the seeds, each counted once per process that names it, are reachable.
 
-        Two groups that cannot reach each other cannot both reach two thirds of the
-        seeds named by their own members, unless their members were given different seeds
+        Two groups that cannot reach each other cannot both have two thirds of the
+        seeds that their own members name, unless their members were given different seeds
         (docs/notes/membership.md).
         """
         counts = self.seed_counts()
--- a/zinctrail/consensus/election.py
+++ b/zinctrail/consensus/election.py
@@ -278,7 +278,7 @@
         self.voter.timers.pop('election', None)
 
     def term_raised(self):
-        """Discard the votes of the last term: a vote counts only in the term that it was given in."""
+        """Discard the votes of the previous term: a vote counts only in the term that it was given in."""
         self.votes = None
 
     def abandon(self):
--- a/zinctrail/consensus/formation.py
+++ b/zinctrail/consensus/formation.py
@@ -60,7 +60,7 @@
         """True if this node holds no state and belongs to no cluster."""
 
     def is_forming(self) -> bool:
-        """True if this node knows of no fully formed cluster that it belongs to."""
+        """True if this node belongs to no cluster that is known to have formed."""
 
     def forget_unformed(self) -> None:
         """Discard the first version of a cluster that did not form, and rewrite the identity file."""
@@ -221,7 +221,10 @@
         self.first_version_nodes = {self.voter.node}
 
     def distribute_first_version(self) -> None:
-        """Ask the other reachable nodes of the set, those not known to have the first version, to accept it."""
+        """Ask the other reachable nodes of the set, unless known to have it, to accept the first version.
+
+        Called in each round until a leader is elected, which needs a majority that has accepted it.
+        """
         nodes = self.voter.replica.latest('meta', 'boot')
         addresses = self.voter.reachable_control_nodes()
         for node in nodes:
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -12,7 +12,7 @@
 # The minimum number of heartbeats per lease for members with a longer interval: renewing a lease takes two, and one
 # may be lost.
 HEARTBEATS_PER_LEASE = 4
-# A heartbeat due within this fraction of the shortest interval is sent already now, since rounds start a little late.
+# A heartbeat due within this fraction of the shortest interval is sent in the current round: rounds start a little late.
 DUE_TOLERANCE = 1 / 4
 # The fraction of the shortest interval for which a message just sent to a member may still be in transit.
 IN_TRANSIT_FRACTION = 1 / 2
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -201,7 +201,7 @@
         self.leadership.heartbeats.tick()
 
     def timer_lease_round(self):
-        """Start a heartbeat round among the voters on which leases may be granted."""
+        """Start a heartbeat round among the voters only, so that leases can be granted soon."""
         if self.is_leader:
             self.leadership.heartbeats.start_round(everyone=False, grants_leases=True)
 
--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -163,8 +163,8 @@
 
     def _oldest_unreceived(self) -> datetime.timedelta:
         """Return when the oldest call without proof of receipt was sent to the leader; now, if there is none."""
-        put = (pending.first_sent_at for pending in self.voter.pending_operations.values())
-        return min((at for at in put if at is not None and at > self.received_until), default=self.voter.now)
+        sent = (pending.first_sent_at for pending in self.voter.pending_operations.values())
+        return min((at for at in sent if at is not None and at > self.received_until), default=self.voter.now)
 
     def _set_timer(self, at: datetime.timedelta):
         self.timer_due = at
@@ -246,7 +246,7 @@
             if patient:
                 callback(result)
             elif self.open_calls.pop(number, None):
-                callback(self._as_refused_to_callers(result))
+                callback(self._result_for_caller(result))
 
         if self.is_lost():
             # Deferred shortly: heartbeat responses of other nodes may be queued behind this call.
@@ -256,7 +256,7 @@
         else:
             self.voter.serve(operation, arguments, respond)
 
-    def _as_refused_to_callers(self, result: results.OperationResult) -> results.OperationResult:
+    def _result_for_caller(self, result: results.OperationResult) -> results.OperationResult:
         """Return the result for the caller: a refusal for want of a leader, while we lead, means a lost majority."""
         if result['status'] != results.NO_LEADER['status'] or not self.voter.leadership:
             return result
--- a/zinctrail/consensus/member_updates.py
+++ b/zinctrail/consensus/member_updates.py
@@ -18,7 +18,7 @@
 
     frame: codec.Frame
     # Whether the frame holds the complete state instead of changes.
-    is_whole_state: bool
+    is_full_state: bool
 
 
 class MemberUpdates(leader_part.LeaderPart):
@@ -77,7 +77,7 @@
         peer.sent_at, peer.sent_version = voter.now, version
         peer.notified_commit = committed or peer.notified_commit
         shared = self._shared_frame(version, peer.is_control_node, base, committed)
-        if shared.is_whole_state:
+        if shared.is_full_state:
             voter.counts['full'] += 1
         voter.send(peer.address, shared.frame, peer.level >= 2)
 
@@ -87,7 +87,7 @@
         return self.leadership.state_transfers.begin(peer, peer.accepted, found and found[0])
 
     def _shared_frame(self, version, everything, base, committed):
-        """Return the frame with a version, encoded once for all members that lack the same, as most of them do."""
+        """Return the frame with a version; it is built and encoded once, because most members lack the same versions."""
         accepted = self.voter.replica.accepted
         key = (accepted, version, everything, base, committed)
         if key not in self.shared_frames:
@@ -120,8 +120,8 @@
         else:
             # A version of an older term may never have been committed, unless this term builds on it.
             version = peer.accepted if peer.accepted == self.latest_for(peer) else (0, 0)
-        is_of_use = peer.is_control_node or version == peer.accepted
-        if version > peer.notified_commit and version <= voter.replica.committed and is_of_use:
+        is_useful = peer.is_control_node or version == peer.accepted
+        if version > peer.notified_commit and version <= voter.replica.committed and is_useful:
             peer.notified_commit = version
             voter.send_message(
                 peer.address, messages.Commit(term=voter.term, version=version, http=voter.location.http)
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -133,7 +133,7 @@
         self.removals[node] = voter.now
         self.leadership.voting_configuration.caught_up.discard(node)
         voter.log(
-            f'Member {node} ({peer.role} {peer.address}) is gone: {why}.',
+            f'Member {node} ({peer.role} {peer.address}) removed: {why}.',
             'gone',
             node=node,
             role=peer.role,
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -276,7 +276,7 @@
         return self.cluster_replacement.is_unformed()
 
     def is_forming(self) -> bool:
-        """True if this node knows of no fully formed cluster that it belongs to."""
+        """True if this node belongs to no cluster that is known to have formed."""
         return self.is_empty() or self.is_unformed()
 
     def forget_unformed(self):
--- a/zinctrail/simulation/catch_up.py
+++ b/zinctrail/simulation/catch_up.py
@@ -271,7 +271,7 @@
     def was_dropped(self, node: Node, since: datetime.timedelta) -> int:
         """How often a log says that a process is no member any more."""
         lost = f'Member {node.machine.node}'
-        return sum(lost in text and 'is gone' in text for at, text in self.world.lines if at > since)
+        return sum(lost in text and 'removed:' in text for at, text in self.world.lines if at > since)
 
     def counts(self) -> dict[str, int]:
         """What the leader has counted."""
