--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -131,7 +131,7 @@
 def heartbeat_is_refused(context, term: int):
     (answer,) = context.host.sent('chk_re')
     assert answer.get('no') is True and answer['term'] == term, answer
-    assert not context.host.machine.leased()
+    assert not context.host.machine.has_lease()
 
 
 @behave.when('d of term {term:d} asks to be a member')
@@ -217,7 +217,7 @@
     host = context.host
     answer_heartbeats(host, 'p', (3, 9))
     host.run(500, lambda: answer_heartbeats(host, 'p', (3, 9)))
-    assert host.machine.peers['p'].answered_round
+    assert host.machine.peers['p'].responded_round
 
 
 @behave.when('the first version is in force, and b answers heartbeats for {duration:d} ms')
--- a/features/support/lookup_directory.py
+++ b/features/support/lookup_directory.py
@@ -58,11 +58,11 @@
         self.routes = routing_table.RoutingTable(state)
         self.proxy_lookup = proxy_lookup.ProxyLookup(self)
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """It may always act on its state."""
         return True
 
-    def lease_left(self) -> datetime.timedelta:
+    def lease_remaining(self) -> datetime.timedelta:
         """How long the lease lasts yet."""
         return durations.ms(1000)
 
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -183,7 +183,7 @@
                 self.leadership.membership.add_peer(node, row)
         for peer in self.leadership.peers.values():
             if peer.is_control_node or (changes_routes and not self.awaits_response(peer)):
-                self.leadership.member_updates.offer(peer)
+                self.leadership.member_updates.send_missing(peer)
 
     def awaits_response(self, peer):
         """Whether to wait for a non-voting member's response to the last version that it was sent.
@@ -214,7 +214,7 @@
         if not self.is_current or peer.node not in self.leadership.peers:
             return
         if peer.accepted != self.leadership.member_updates.latest_for(peer) and self._may_offer_again(peer):
-            self.leadership.member_updates.offer(peer)
+            self.leadership.member_updates.send_missing(peer)
         self.leadership.member_updates.notify_commit(peer)
 
     def _may_offer_again(self, peer):
@@ -226,7 +226,7 @@
         """Count a member for every version up to the one that it accepted: within a term versions are linear."""
         if peer.accepted[0] != self.voter.term:
             return
-        self.leadership.voting_configuration.note_caught_up(peer)
+        self.leadership.voting_configuration.record_caught_up(peer)
         is_new = False
         for publication in self.in_flight:
             if publication.version > peer.accepted:
@@ -244,7 +244,7 @@
         if not done:
             return
         for publication in done:
-            self.leadership.leases.note_commit(publication.version, publication.changes_routes)
+            self.leadership.leases.record_commit(publication.version, publication.changes_routes)
         voter.rows_committed(voter.replica.commit(done[-1].version))
         for publication in done:
             for pending in publication.results:
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -120,7 +120,7 @@
         transfer = self.transfers.get(node)
         if peer is None or transfer is None:
             return
-        peer.heard_at = self.voter.now
+        peer.last_seen_at = self.voter.now
         if message.version == transfer.content.version and message.base == transfer.content.base:
             transfer.acknowledge(message.received, self.voter.now)
             self._send_due(peer)
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -75,7 +75,7 @@
 
     # -- leases -----------------------------------------------------------
 
-    def leased(self):
+    def has_lease(self):
         """Whether this node may act on its state; a leader by what a quorum answered to its heartbeats."""
         if self.is_leader:
             # A leader's lease is as long as the others', which go on acting on what it sent them for that long.
@@ -83,17 +83,17 @@
                 self.replica.committed[0] == self.term
                 and self.now < self.leadership.heartbeats.quorum_at + self.settings.lease
             )
-        return super().leased()
+        return super().has_lease()
 
-    def lease_left(self):
+    def lease_remaining(self):
         """How long it may go on doing so."""
         if self.is_leader:
             return (
                 self.leadership.heartbeats.quorum_at + self.settings.lease - self.now
-                if self.leased()
+                if self.has_lease()
                 else durations.ZERO
             )
-        return super().lease_left()
+        return super().lease_remaining()
 
     # -- leadership -------------------------------------------------------
 
@@ -190,7 +190,7 @@
         """A member shuts down soon."""
         self.singleton_roles.on_draining(message)
 
-    def member_gone(self, transaction: transactions.Transaction, node: str):
+    def member_removed(self, transaction: transactions.Transaction, node: str):
         """A member was dropped: its singleton roles go to others in the same transaction."""
         self.singleton_roles.place(transaction)
 
@@ -201,7 +201,7 @@
         if not self.is_empty() or self.disk_failed or self.stopping:
             raise errors.ConflictError('is no empty control node')
         cluster = uuid.UUID(int=self.rng.getrandbits(128), version=4).hex
-        start = recovery.initial_state(body, cluster, self.node, self.member())
+        start = recovery.initial_state(body, cluster, self.node, self.member_row())
         self.log(f'Recovers cluster {body["cluster"]} as {cluster}, from generation {body["generation"]}.')
         self.cluster_replacement.begin(
             cluster,
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -42,10 +42,10 @@
     replica: replica.Replica
     routes: routing_table.RoutingTable
 
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this node may act on its state."""
 
-    def lease_left(self) -> datetime.timedelta:
+    def lease_remaining(self) -> datetime.timedelta:
         """How long it may go on doing so."""
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
@@ -77,7 +77,7 @@
             raise errors.BadRequestError('cell and host must be texts')
         if isinstance(most, bool) or not isinstance(most, int) or not 1 <= most <= PROXIES_MOST:
             raise errors.BadRequestError(f'most must be a whole number from 1 to {PROXIES_MOST}')
-        if not self.member.leased():
+        if not self.member.has_lease():
             # A client would go on acting on a stale answer, so none is given.
             raise errors.UnavailableError(
                 'no lease on the state', elsewhere=self._others(member_roles.DIRECTORY), retry_ms=RETRY_WITHOUT_LEASE_MS
@@ -144,7 +144,7 @@
 
     def _time_to_live_ms(self) -> int:
         """How long a client may use the answer: never beyond the lease that it rests on."""
-        return max(1, durations.to_ms(min(self.member.settings.answer, self.member.lease_left())))
+        return max(1, durations.to_ms(min(self.member.settings.answer, self.member.lease_remaining())))
 
 
 def page_answer(
--- a/zinctrail/simulation/scale/hollow.py
+++ b/zinctrail/simulation/scale/hollow.py
@@ -33,10 +33,10 @@
             # No more, because nothing is sent, and the complete one shows what iterating over all members costs.
             self.set_timer('discovery', self.settings.probe)
 
-    def note_node(self, addr, node='', role='', seen=False):
+    def record_node(self, addr, node='', role='', seen=False):
         """Remember only control nodes, and strangers."""
         if role == 'core' or not node:
-            super().note_node(addr, node, role, seen)
+            super().record_node(addr, node, role, seen)
 
 
 class HollowProxy(Hollow, proxy_node.Proxy):
@@ -58,11 +58,11 @@
 
     voter: WarmVoter
 
-    def offer(self, peer):
+    def send_missing(self, peer):
         """Offer the newest version to a member."""
         if self.voter.assumes_members_current and peer.accepted is None and not peer.is_control_node:
             peer.accepted = state.VERSION
-        super().offer(peer)
+        super().send_missing(peer)
 
 
 class WarmController(controller.Controller):
