--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -61,9 +61,9 @@
     assert after == before, (before, after)
 
 
-def is_repeatable(operation: str) -> bool:
+def is_retryable(operation: str) -> bool:
     """Whether an operation may be repeated whatever its arguments are."""
-    return leader_operations.LeaderOperations.is_repeatable(None, operation, {})
+    return leader_operations.LeaderOperations.is_retryable(None, operation, {})
 
 
 @behave.then('the rows of asks name every operation that acts')
@@ -71,10 +71,10 @@
     operations = {*leader_operations.HANDLERS, *coordination.OPERATIONS} - {*leader_operations.READS}
     acting = operations | {'beat'}
     assert set(operation_cases.CASES) == acting, acting ^ set(operation_cases.CASES)
-    recognized_by_id = [operation for operation in acting if not is_repeatable(operation)]
+    recognized_by_id = [operation for operation in acting if not is_retryable(operation)]
     assert sorted(recognized_by_id) == sorted(leader_operations.RECOGNIZED_BY_ID)
     assert all(
-        leader_operations.LeaderOperations.is_repeatable(None, operation, {'id': 'i'})
+        leader_operations.LeaderOperations.is_retryable(None, operation, {'id': 'i'})
         for operation in leader_operations.RECOGNIZED_BY_ID
     )
 
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -186,12 +186,12 @@
     assert result['status'] == 200, result
 
 
-def declare_gone(node: control_node.ControlNode, incarnation: str) -> None:
+def remove_endpoint(node: control_node.ControlNode, incarnation: str) -> None:
     """Let the leader find an endpoint gone."""
     registry = node.machine.endpoint_registry
     results = []
     node.machine.submit(
-        lambda transaction: registry.declare_gone(transaction, incarnation) or {'status': 200}, results.append
+        lambda transaction: registry.remove_endpoint(transaction, incarnation) or {'status': 200}, results.append
     )
     node.feed('wake')
     node.run(100)
@@ -208,7 +208,7 @@
         elif text in ('emptied', 'taken back'):
             assert node.operate('cell.empty', cell='r0/c0', on=text == 'emptied')['status'] == 200
         elif words[1:] == ['gone']:
-            declare_gone(node, words[0])
+            remove_endpoint(node, words[0])
         elif words[1:] == ['leaves']:
             assert node.operate('leave', inc=words[0])['status'] == 200
         else:
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -53,7 +53,7 @@
         (controller.Controller, 'leased', lambda self: True),
         (controller.Controller, 'lease_left', lambda self: ms(2000)),
     ],
-    'lock terms': [(lock_expiry.LockExpiry, 'time_kept', lambda self, lease_ms: ms(lease_ms / 4))],
+    'lock terms': [(lock_expiry.LockExpiry, 'expiry_delay', lambda self, lease_ms: ms(lease_ms / 4))],
     'refusals told as 503': [(http_api, 'to_response', respond_with_inner_status)],
 }
 
--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -179,7 +179,7 @@
     'counting what is sent': counting_early,
     'ids of calls': lambda: replaced(coordination, 'run_once', run_each_time),
     'homes of claims': lambda: replaced(at_most_once.AtMostOnce, 'is_outside_home', lambda self, request, zone: False),
-    'keeping the gone': lambda: replaced(heartbeats, 'require_not_gone', lambda state, incarnation: None),
+    'keeping the gone': lambda: replaced(heartbeats, 'require_not_removed', lambda state, incarnation: None),
     'asking who is there': lambda: replaced(world.World, 'verifies_incarnations', False),
     'publishing to proxies': lambda: (
         replaced(proxy_node.Proxy, 'applied', lambda self, rows: None)
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -96,7 +96,7 @@
     replica = context.leader.node.machine.replica
     assert replica.get(registers.CHANGES_TABLE) == {}, len(replica.get(registers.CHANGES_TABLE))
     row = replica.get(registers.TABLE, KEY)
-    assert len(row['past']) <= registers.PAST_VALUES_KEPT, len(row['past'])
+    assert len(row['past']) <= registers.MAX_PAST_VALUES, len(row['past'])
 
 
 # -- evacuations --------------------------------------------------------------------------
@@ -148,7 +148,7 @@
 
 @behave.when('orders on the zone come without a pause until one is refused')
 def orders_until_refused(context):
-    most = 2 * evacuations.MAX_IDS
+    most = 2 * evacuations.MAX_COMMAND_IDS
     for first in range(0, most, STEPS_PER_BATCH):
         results = serve_batch(context.leader, 'cell.empty', zone_orders(first, STEPS_PER_BATCH))
         context.refused = [result for result in results if result['status'] != 200]
@@ -162,7 +162,7 @@
     # Those behind it name numbers that it did not bring about.
     assert context.refused[0]['status'] == 503, context.refused[:3]
     row = context.leader.node.machine.replica.get(evacuations.TABLE, ZONE)
-    assert row['number'] == evacuations.MAX_IDS, row['number']
+    assert row['number'] == evacuations.MAX_COMMAND_IDS, row['number']
 
 
 @behave.then('once the time of two epochs has gone by, an order is taken, and few are remembered')
--- a/features/steps/routes_kept_steps.py
+++ b/features/steps/routes_kept_steps.py
@@ -57,7 +57,7 @@
 def give_answers(context, count: int, labels: int):
     """Look up proxies for both kinds of traffic, each time three."""
     for _ in range(count):
-        assert len(context.directory.proxy_lookup.find_fronts(CELLS[0], 3)['proxies']) == 3
+        assert len(context.directory.proxy_lookup.find_ingresses(CELLS[0], 3)['proxies']) == 3
     for _ in range(labels):
         assert len(context.directory.proxy_lookup.find_proxies([], CELLS[0], 3)['proxies']) == 3
 
@@ -88,7 +88,7 @@
 def answers_name_newest_members(context):
     numbers = {node: int(node.split('-')[1]) for node in [*context.gone, context.left]}
     for _ in range(50):
-        fronts = context.directory.proxy_lookup.find_fronts(CELLS[0], 3)['proxies']
+        fronts = context.directory.proxy_lookup.find_ingresses(CELLS[0], 3)['proxies']
         assert fronts[0] == member_row(numbers[context.left])['front'], fronts
         assert not {member_row(numbers[node])['front'] for node in context.gone} & set(fronts), fronts
         https = context.directory.proxy_lookup.find_proxies([], CELLS[0], 3)['proxies']
@@ -98,10 +98,10 @@
 @behave.when('standing answers for {count:d} cells that nobody configured are given')
 def answers_for_unknown_cells(context, count: int):
     for number in range(count):
-        assert context.directory.proxy_lookup.find_fronts(f'r9/{number}', 2)['proxies']
+        assert context.directory.proxy_lookup.find_ingresses(f'r9/{number}', 2)['proxies']
 
 
 @behave.then('the fronts are kept for at most {limit:d} cells')
 def cells_kept_are_limited(context, limit: int):
-    kept = len(context.directory.routes.fronts_by_zone)
+    kept = len(context.directory.routes.ingresses_by_zone)
     assert 0 < kept <= limit, kept
--- a/features/support/lookup_directory.py
+++ b/features/support/lookup_directory.py
@@ -92,4 +92,4 @@
 
     def answers(self, zone: str, host: str, count: int = 100) -> list[list[str]]:
         """The fronts that so many answers name."""
-        return [self.proxy_lookup.find_fronts(zone, MOST, host)['proxies'] for _ in range(count)]
+        return [self.proxy_lookup.find_ingresses(zone, MOST, host)['proxies'] for _ in range(count)]
--- a/zinctrail/consensus/operations.py
+++ b/zinctrail/consensus/operations.py
@@ -74,7 +74,7 @@
     def has_effects(self, operation: str) -> bool:
         """Whether carrying an operation out twice differs from carrying it out once."""
 
-    def is_repeatable(self, operation: str, arguments: Arguments) -> bool:
+    def is_retryable(self, operation: str, arguments: Arguments) -> bool:
         """Whether carrying it out again, after others acted, is the same as having carried it out once."""
 
 
@@ -92,7 +92,7 @@
         """Carry out what waited here for a leader, now that this node is the leader."""
         waiting, self.voter.pending_operations = self.voter.pending_operations, {}
         for pending in waiting.values():
-            if pending.first_term is not None and not self.voter.is_repeatable(pending.operation, pending.arguments):
+            if pending.first_term is not None and not self.voter.is_retryable(pending.operation, pending.arguments):
                 pending.callback(dict(results.LOST))
             else:
                 self._serve_pending(pending)
@@ -135,7 +135,7 @@
         return (
             message.first_term is not None
             and message.first_term < self.voter.term
-            and not self.voter.is_repeatable(message.operation, message.arguments)
+            and not self.voter.is_retryable(message.operation, message.arguments)
         )
 
     def carry_out(self, message: messages.OperationRequest):
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -431,7 +431,7 @@
         """Whether carrying an operation out twice differs from carrying it out once."""
         return True
 
-    def is_repeatable(self, operation: str, arguments: operations.Arguments) -> bool:
+    def is_retryable(self, operation: str, arguments: operations.Arguments) -> bool:
         """Whether carrying it out again, after others acted, is the same as having carried it out once."""
         return False
 
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -165,7 +165,7 @@
         )
 
         def drop(txn: transactions.Transaction) -> replies.Result:
-            self.controller.endpoint_registry.declare_gone(txn, incarnation)
+            self.controller.endpoint_registry.remove_endpoint(txn, incarnation)
             return replies.ok()
 
         self.controller.submit(drop, controller_part.ignore_result)
--- a/zinctrail/control/endpoint_registry.py
+++ b/zinctrail/control/endpoint_registry.py
@@ -87,7 +87,7 @@
         replica = self.controller.replica
         incarnation, sequence = heartbeat['inc'], heartbeat.get('seq')
         if sequence is None:
-            heartbeats.require_not_gone(replica, incarnation)
+            heartbeats.require_not_removed(replica, incarnation)
         elif sequence < self.heartbeat_sequences.get(incarnation, 0):
             # Acknowledged without effect: the endpoint has sent a newer heartbeat since.
             callback(replies.ok())
@@ -110,11 +110,11 @@
         """Within a transaction: what a heartbeat says that is new."""
         known = txn.get(TABLE, incarnation)
         if sequence is None:
-            heartbeats.require_not_gone(txn, incarnation)
+            heartbeats.require_not_removed(txn, incarnation)
         elif not self._accepts_sequence(txn, incarnation, row, sequence):
             return replies.ok()
         if row['state'] == heartbeats.LEAVING:
-            self.declare_gone(txn, incarnation)
+            self.remove_endpoint(txn, incarnation)
             if sequence is not None:
                 self._mark_left(txn, incarnation)
             return replies.ok()
@@ -134,7 +134,7 @@
         """An address has one incarnation at a time, so a newcomer proves that the one before is dead."""
         for other, its_row in txn.items(TABLE).items():
             if other != incarnation and its_row['addr'] == row['addr']:
-                self.declare_gone(txn, other)
+                self.remove_endpoint(txn, other)
 
     def _accepts_sequence(
         self, txn: transactions.Transaction, incarnation: str, row: rows.EndpointRow, sequence: int
@@ -160,7 +160,7 @@
         incarnation = arguments.text(args, 'inc')
 
         def sign_off(txn: transactions.Transaction) -> replies.Result:
-            self.declare_gone(txn, incarnation)
+            self.remove_endpoint(txn, incarnation)
             self._mark_left(txn, incarnation)
             return replies.ok()
 
@@ -168,7 +168,7 @@
 
     # -- tombstones -------------------------------------------------------
 
-    def declare_gone(self, txn: transactions.Transaction, incarnation: str) -> None:
+    def remove_endpoint(self, txn: transactions.Transaction, incarnation: str) -> None:
         """Within a transaction: drop an endpoint's row and leave a tombstone.
 
         The tombstone is part of the state, because the next leader must not let a
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -24,7 +24,7 @@
 TABLE = 'cell_orders'
 ZONES_TABLE = 'cells'
 # How many orders on a zone are taken within an epoch; further ones are refused, so that all that were taken are known.
-MAX_IDS = 512
+MAX_COMMAND_IDS = 512
 # EndpointRow.chill of an endpoint that counts as cold until two heartbeats of its own have said otherwise.
 CHILLED = 2
 MAX_ZONE_LENGTH = 300
@@ -60,7 +60,7 @@
         # Orders that race for the same end need not wait for each other: at this moment it is as they want it.
         if number != order['number'] and _is_emptied(txn, zone) != is_evacuation:
             raise errors.ConflictError('another order on this cell was acknowledged first', number=order['number'])
-        if len(ids) >= MAX_IDS:
+        if len(ids) >= MAX_COMMAND_IDS:
             raise errors.UnavailableError('too many orders on this cell', retry_ms=RETRY_MS)
         ids = [*ids, order_id]
     txn.put(TABLE, zone, _order_row(order['number'] + 1, ids, earlier_ids))
--- a/zinctrail/control/heartbeats.py
+++ b/zinctrail/control/heartbeats.py
@@ -83,7 +83,7 @@
     return row is not None and {key: value for key, value in row.items() if key != 'seq'} == reported
 
 
-def require_not_gone(state, incarnation: str) -> None:
+def require_not_removed(state, incarnation: str) -> None:
     """Refuse an incarnation that was declared gone: it never comes back, and the endpoint has to take a new one."""
     if state.get(retention.TOMBSTONES_TABLE, incarnation) is not None:
         raise errors.GoneError('this incarnation was declared gone: mint a new one')
--- a/zinctrail/control/leader_operations.py
+++ b/zinctrail/control/leader_operations.py
@@ -83,7 +83,7 @@
         # A heartbeat may register an endpoint.
         return operation in READS and operation != 'beat'
 
-    def is_repeatable(self, operation: str, args: dict) -> bool:
+    def is_retryable(self, operation: str, args: dict) -> bool:
         """Whether the state recognizes a retry of an operation, whatever others did in between."""
         return operation not in RECOGNIZED_BY_ID or 'id' in args
 
--- a/zinctrail/control/lock_expiry.py
+++ b/zinctrail/control/lock_expiry.py
@@ -26,13 +26,13 @@
         for name, row in self.controller.replica.whole_of(locks.TABLE).items():
             # The first versions of this leader may have acquired, renewed or released it already.
             if row is not None:
-                self.deadlines.setdefault(name, self.controller.now + self.time_kept(row['lease_ms']))
+                self.deadlines.setdefault(name, self.controller.now + self.expiry_delay(row['lease_ms']))
 
     def stop(self) -> None:
         """This node leads no more: what it knew must not count once it leads again, after another leader."""
         self.deadlines = {}
 
-    def time_kept(self, lease_ms: float) -> datetime.timedelta:
+    def expiry_delay(self, lease_ms: float) -> datetime.timedelta:
         """How long a lock is kept for its owner: longer than its lease, as the owner's clock may be slower."""
         return durations.ms(lease_ms) * (1 + self.controller.settings.slack)
 
--- a/zinctrail/control/locks.py
+++ b/zinctrail/control/locks.py
@@ -164,7 +164,7 @@
     deadlines = controller.lock_expiry.deadlines
     if name not in deadlines:
         # A new leader computes its first versions before it has seen all locks; it counts an unseen lease in full.
-        deadlines[name] = txn.now + controller.lock_expiry.time_kept(row['lease_ms'])
+        deadlines[name] = txn.now + controller.lock_expiry.expiry_delay(row['lease_ms'])
     return deadlines[name]
 
 
@@ -174,7 +174,7 @@
     The response to a call for a shorter one may be lost, and the owner then relies on the longer one.
     """
     deadlines = controller.lock_expiry.deadlines
-    end = txn.now + controller.lock_expiry.time_kept(lease_ms)
+    end = txn.now + controller.lock_expiry.expiry_delay(lease_ms)
     deadlines[name] = max(deadlines.get(name, txn.now), end)
 
 
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -85,7 +85,7 @@
         is_open_traffic = body.get('front', False)
         if not isinstance(is_open_traffic, bool):
             raise errors.BadRequestError('front must be true or false')
-        answer(self.find_fronts(zone, most, host) if is_open_traffic else self.find_proxies(home, zone, most))
+        answer(self.find_ingresses(zone, most, host) if is_open_traffic else self.find_proxies(home, zone, most))
 
     def _others(self, role: str) -> list[str]:
         """The HTTP addresses of the other members of a role."""
@@ -131,7 +131,7 @@
             and (not home or self.member.routes.region_of(member['cell']) in home)
         )
 
-    def find_fronts(self, zone: str, most: int, host: str = '') -> replies.Result:
+    def find_ingresses(self, zone: str, most: int, host: str = '') -> replies.Result:
         """The fronts for open traffic of a client in a zone, and for a host where one is named."""
         routes = self.member.routes
         homes = routes.homes_of_host(routing_table.without_port(host))
--- a/zinctrail/control/registers.py
+++ b/zinctrail/control/registers.py
@@ -24,7 +24,7 @@
 # {group: the revision up to which its changes were dropped}
 OLDEST_TABLE = 'floors'
 # Earlier values that a register keeps itself, so that most retries are recognized without a look at the history.
-PAST_VALUES_KEPT = 24
+MAX_PAST_VALUES = 24
 
 
 class RegisterRow(typing.TypedDict):
@@ -70,7 +70,7 @@
     group = group_of(name)
     revision = _group_revision(txn, group) + 1
     txn.put(GROUPS_TABLE, group, revision)
-    past = [*row['past'], [row['value'], row['rev']]][-PAST_VALUES_KEPT:] if row else []
+    past = [*row['past'], [row['value'], row['rev']]][-MAX_PAST_VALUES:] if row else []
     new: RegisterRow = {'value': value, 'rev': revision, 'past': past}
     txn.put(TABLE, name, new)
     epoch = txn.get('meta', 'epoch') or 0
@@ -119,7 +119,7 @@
     for written, revision in [*row['past'], (row['value'], row['rev'])]:
         if written == value:
             return revision
-    if len(row['past']) < PAST_VALUES_KEPT:
+    if len(row['past']) < MAX_PAST_VALUES:
         # Nothing that it ever held is missing.
         return None
     return _revision_in_history(txn, name, value, after, row['past'][0][1])
--- a/zinctrail/control/routing_table.py
+++ b/zinctrail/control/routing_table.py
@@ -172,7 +172,7 @@
         self.replica = state
         self._derived: DerivedRoutes | None = None
         self._members_by_role: dict[str, dict[str, rows.MemberRow]] = {}
-        self.fronts_by_zone: dict[str, FrontsByDistance] = {}
+        self.ingresses_by_zone: dict[str, FrontsByDistance] = {}
         # The state version that the two above were derived from.
         self._members_version: tuple[int, int] | None = None
 
@@ -285,7 +285,7 @@
         if self._members_version == self.replica.tables_version:
             return
         self._members_version = self.replica.tables_version
-        self._members_by_role, self.fronts_by_zone = {}, {}
+        self._members_by_role, self.ingresses_by_zone = {}, {}
         for node, member in self.replica.get('members').items():
             self._members_by_role.setdefault(member['role'], {})[node] = member
 
@@ -295,12 +295,12 @@
         Kept until the next version of the state: callers must not change it.
         """
         self._derive_members()
-        found = self.fronts_by_zone.get(zone)
+        found = self.ingresses_by_zone.get(zone)
         if found is None:
             # Requests may name zones that nobody configured, so the number of those kept has to be bounded.
-            if len(self.fronts_by_zone) >= ZONES_KEPT_MOST:
-                self.fronts_by_zone.clear()
-            found = self.fronts_by_zone[zone] = self._fronts_from(zone)
+            if len(self.ingresses_by_zone) >= ZONES_KEPT_MOST:
+                self.ingresses_by_zone.clear()
+            found = self.ingresses_by_zone[zone] = self._fronts_from(zone)
         return found
 
     def _fronts_from(self, zone: str) -> FrontsByDistance:
