--- a/features/steps/proxy_lookup_steps.py
+++ b/features/steps/proxy_lookup_steps.py
@@ -108,7 +108,7 @@
 @behave.then('a lookup with {body} is refused with 400')
 def lookup_is_refused(context, body: str):
     try:
-        context.directory.proxy_lookup.answer(json.loads(body), lambda result: None)
+        context.directory.proxy_lookup.serve(json.loads(body), lambda result: None)
     except errors.BadRequestError as refusal:
         assert refusal.to_result()['status'] == 400
         return
--- a/zinctrail/control/claims.py
+++ b/zinctrail/control/claims.py
@@ -71,7 +71,7 @@
         controller.submit(lambda txn: claim(controller, txn, args), callback, for_caller=True)
 
     def _logged(self, request_id: str, args: dict, callback: replies.Callback) -> replies.Callback:
-        def log_and_answer(result: replies.Result) -> None:
+        def log_and_respond(result: replies.Result) -> None:
             outcome = result.get('got') or result['status']
             self.controller.log(
                 f'Claim of {request_id:.200}: {outcome}.',
@@ -82,7 +82,7 @@
             )
             callback(result)
 
-        return log_and_answer
+        return log_and_respond
 
     def serve_close(self, args: dict, callback: replies.Callback) -> None:
         """Operation `close`."""
--- a/zinctrail/control/cluster_status.py
+++ b/zinctrail/control/cluster_status.py
@@ -31,7 +31,7 @@
         replica = controller.replica
         state['endpoints'] = {
             incarnation: dict(
-                row, beat_ms=durations.to_ms(controller.now - controller.endpoint_registry.last_heard(incarnation))
+                row, beat_ms=durations.to_ms(controller.now - controller.endpoint_registry.last_seen_at(incarnation))
             )
             for incarnation, row in replica.get('endpoints').items()
         }
@@ -48,11 +48,11 @@
         controller = self.controller
         followers = [peer for peer in controller.peers.values() if peer.role != member_roles.CONTROL_NODE]
         behind = [peer.heard_at for peer in followers if peer.committed[1] < routes_generation]
-        answered = [peer.heard_at for peer in followers]
+        responded_at = [peer.heard_at for peer in followers]
         claim_epochs = [claim['epoch'] for claim in controller.replica.get('claims').values()]
         lease = controller.settings.lease
         return {
             'unapplied_ms': durations.to_ms(controller.now - min(behind)) if behind else 0,
-            'least_lease_ms': durations.to_ms(lease - (controller.now - min(answered))) if answered else 0,
+            'least_lease_ms': durations.to_ms(lease - (controller.now - min(responded_at))) if responded_at else 0,
             'oldest_claim_epochs': epoch - min(claim_epochs) if claim_epochs else 0,
         }
--- a/zinctrail/control/configuration.py
+++ b/zinctrail/control/configuration.py
@@ -81,11 +81,11 @@
     labels: dict[str, dict[str, str]]
 
 
-def check(document: typing.Any) -> list[document_checks.Fault]:
+def check(document: typing.Any) -> list[document_checks.FieldError]:
     """All faults of a document; any JSON value may be given."""
     checks = document_checks.DocumentChecks()
     if not checks.fields('$', document, PARTS):
-        return checks.faults
+        return checks.field_errors
     for part in PARTS:
         if not isinstance(document.get(part, {}), dict):
             checks.add(f'$.{part}', 'must be an object')
@@ -94,23 +94,23 @@
             path = f'$.{part}.{name}'
             checks.name(path, name)
             ROW_CHECKS[part](checks, path, row, document)
-    return checks.faults
+    return checks.field_errors
 
 
 def require_valid(document: typing.Any) -> None:
     """Refuse a document that has faults, with all of them."""
-    faults = check(document)
-    if faults:
-        raise document_checks.invalid('invalid configuration', faults)
+    field_errors = check(document)
+    if field_errors:
+        raise document_checks.validation_error('invalid configuration', field_errors)
 
 
 def _check_pool(checks: document_checks.DocumentChecks, path: str, row: typing.Any, document: dict) -> None:
     if not checks.fields(path, row, ('service', 'selector', 'policy'), ('service',)):
         return
     if 'policy' in row:
-        fault = policies.check(row['policy'])
-        if fault:
-            checks.add(f'{path}.policy', fault)
+        error = policies.check(row['policy'])
+        if error:
+            checks.add(f'{path}.policy', error)
     if 'service' in row:
         checks.name(f'{path}.service', row['service'])
     if 'selector' in row:
--- a/zinctrail/control/configuration_changes.py
+++ b/zinctrail/control/configuration_changes.py
@@ -55,7 +55,7 @@
             if result['status'] == 200 and waits:
                 version = member.as_version(controller.replica.get('meta', 'routes'))
                 self.pending.append(PendingChange(version, controller.now, result, callback))
-                self.answer_in_force()
+                self.respond_in_force()
             else:
                 callback(result)
 
@@ -66,7 +66,7 @@
             for_caller=True,
         )
 
-    def answer_in_force(self) -> None:
+    def respond_in_force(self) -> None:
         """Answer the callers whose changes are in force at every member."""
         controller = self.controller
         pending = []
--- a/zinctrail/control/configuration_items.py
+++ b/zinctrail/control/configuration_items.py
@@ -40,7 +40,7 @@
 MAX_CONNECTIONS = 1000000
 MAX_SLOW_START = 1e6
 # How many items a refusal names.
-MAX_FAULTS_REPORTED = 100
+MAX_ERRORS_REPORTED = 100
 
 
 class ShareRow(typing.TypedDict):
@@ -131,11 +131,11 @@
     row: Item | None
 
 
-def check(document: typing.Any, references: 'References | None' = None) -> list[document_checks.Fault]:
+def check(document: typing.Any, references: 'References | None' = None) -> list[document_checks.FieldError]:
     """All faults of a change; any JSON value may be given. Without `references`, rules may name any pool."""
     checks = document_checks.DocumentChecks()
     if not checks.fields('$', document, ('set', 'drop')):
-        return checks.faults
+        return checks.field_errors
     sets, drops = document.get('set', {}), document.get('drop', {})
     if checks.fields('$.set', sets, (*LISTS, LIMITS)):
         for part in LISTS:
@@ -148,7 +148,7 @@
         for part in LISTS:
             for path, row in checks.objects(f'$.drop.{part}', drops.get(part, [])):
                 _check_name_and_version(checks, path, row)
-    return checks.faults
+    return checks.field_errors
 
 
 def _check_name_and_version(checks: document_checks.DocumentChecks, path: str, row: dict) -> None:
@@ -194,7 +194,7 @@
     if 'aim_ms' in row:
         checks.whole_number(f'{path}.aim_ms', row['aim_ms'], 1, MAX_MS)
         # The two can be compared only once both are known to be numbers.
-        if not checks.faults and row['aim_ms'] >= row['timeout_ms'] + MAX_TARGET_OVER_TIMEOUT_MS:
+        if not checks.field_errors and row['aim_ms'] >= row['timeout_ms'] + MAX_TARGET_OVER_TIMEOUT_MS:
             checks.add(f'{path}.aim_ms', f'is a minute or more above timeout_ms, {row["timeout_ms"]}')
 
 
@@ -302,16 +302,16 @@
 
     400 with all faults if it is malformed; 409 if a version in it belongs to other content.
     """
-    faults = check(document, References(txn, document))
-    if faults:
-        raise document_checks.invalid('invalid change', faults[:MAX_FAULTS_REPORTED])
-    version_contents.begin(txn)
+    field_errors = check(document, References(txn, document))
+    if field_errors:
+        raise document_checks.validation_error('invalid change', field_errors[:MAX_ERRORS_REPORTED])
+    version_contents.initialize(txn)
     changed = 0
     conflicts: list[ConflictRow] = []
     for change in to_changes(document):
         present: ItemRow | None = txn.get(TABLE, change.key)
         if present is not None and change.version <= present['v']:
-            if not _is_acknowledged(txn, change, present):
+            if not _may_acknowledge(txn, change, present):
                 conflicts.append(_conflict(change, present))
             continue
         if present is not None:
@@ -320,14 +320,14 @@
         txn.put(TABLE, change.key, row)
         changed += 1
     if conflicts:
-        raise _versions_taken(conflicts)
+        raise _version_conflict_error(conflicts)
     return replies.ok(took=changed, generation=txn.generation)
 
 
-def _is_acknowledged(txn: transactions.Transaction, change: ItemChange, present: ItemRow) -> bool:
+def _may_acknowledge(txn: transactions.Transaction, change: ItemChange, present: ItemRow) -> bool:
     """Whether an item that changes nothing may be acknowledged: its version does not belong to other content."""
     if change.version == present['v']:
-        return version_contents.same(change.row, present['row'])
+        return version_contents.is_same(change.row, present['row'])
     content = version_contents.digest(change.row)
     known = version_contents.remembered(txn, change.key, change.version)
     if known is None and version_contents.is_complete(txn):
@@ -341,9 +341,9 @@
     return {'part': part, 'name': name, 'version': change.version, 'standing': present['v']}
 
 
-def _versions_taken(conflicts: list[ConflictRow]) -> errors.ConflictError:
+def _version_conflict_error(conflicts: list[ConflictRow]) -> errors.ConflictError:
     """The refusal of a change that gives acknowledged versions other contents; a retry is refused as well."""
-    conflicts_reported = conflicts[:MAX_FAULTS_REPORTED]
+    conflicts_reported = conflicts[:MAX_ERRORS_REPORTED]
     described = [
         {
             'path': f'{conflict["part"]}/{conflict["name"]}',
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -121,8 +121,8 @@
         self.health_checks.check_silent()
         self.outlier_ejection.update()
         self.lock_expiry.drop_expired()
-        self.configuration_changes.answer_in_force()
-        self.watches.answer_overdue()
+        self.configuration_changes.respond_in_force()
+        self.watches.respond_to_overdue()
         self.reconfigure()
 
     def applied(self, rows):
@@ -132,15 +132,15 @@
             return
         if any(row[0] in ('members', 'conf') for row in rows or ()):
             self.singleton_roles.submit_placement()
-        self.watches.await_events(rows)
+        self.watches.schedule_responses(rows)
 
     def timer_changes_in_force(self):
         """Look again whether changes are in force at every member."""
-        self.configuration_changes.answer_in_force()
+        self.configuration_changes.respond_in_force()
 
     def timer_events(self):
         """Events came into force a moment ago."""
-        self.watches.answer_with_events()
+        self.watches.respond_with_events()
 
     # -- what is passed on to the parts -----------------------------------
 
@@ -150,15 +150,15 @@
 
     def on_hung_up(self, call_id: http_api.CallId):
         """The caller of an HTTP call went away."""
-        self.http_api.hung_up(call_id)
+        self.http_api.client_disconnected(call_id)
 
-    def take_heartbeat(self, body: dict, answer: replies.Callback):
+    def take_heartbeat(self, body: dict, respond: replies.Callback):
         """An endpoint's heartbeat came to this node."""
-        self.endpoint_registry.take_heartbeat(body, answer)
+        self.endpoint_registry.take_heartbeat(body, respond)
 
     def heartbeat_details(self):
         """Tell the leader, with a response to its heartbeat, which endpoints were heard of here."""
-        received = self.endpoint_registry.take_unreported()
+        received = self.endpoint_registry.pop_unreported()
         return {'endpoint_heartbeats': received} if received else {}
 
     def on_heartbeat_response(self, message: messages.HeartbeatResponse):
--- a/zinctrail/control/document_checks.py
+++ b/zinctrail/control/document_checks.py
@@ -9,7 +9,7 @@
 MAX_LABEL_LENGTH = 200
 
 
-class Fault(typing.NamedTuple):
+class FieldError(typing.NamedTuple):
     """What is wrong with a document, and where."""
 
     # From the root `$`, as `$.rules.checkout.pool`.
@@ -17,20 +17,20 @@
     text: str
 
 
-def invalid(text: str, faults: list[Fault]) -> errors.BadRequestError:
+def validation_error(text: str, field_errors: list[FieldError]) -> errors.BadRequestError:
     """The refusal of a document, with its faults as rows of the JSON body."""
-    return errors.BadRequestError(text, faults=[{'path': fault.path, 'fault': fault.text} for fault in faults])
+    return errors.BadRequestError(text, faults=[{'path': error.path, 'fault': error.text} for error in field_errors])
 
 
 class DocumentChecks:
-    """The checks that documents share. Each adds what it finds to `faults`."""
+    """The checks that documents share. Each adds what it finds to `field_errors`."""
 
     def __init__(self):
-        self.faults: list[Fault] = []
+        self.field_errors: list[FieldError] = []
 
     def add(self, path: str, text: str) -> None:
         """Note a fault."""
-        self.faults.append(Fault(path, text))
+        self.field_errors.append(FieldError(path, text))
 
     def fields(
         self, path: str, document: typing.Any, known: typing.Collection[str], required: typing.Iterable[str] = ()
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -78,24 +78,24 @@
     def check_silent(self) -> None:
         """Have every endpoint checked that missed its heartbeats, and retry checks that have no result."""
         now, settings = self.controller.now, self.controller.settings
-        last_heard = self.controller.endpoint_registry.last_heard
+        last_seen_at = self.controller.endpoint_registry.last_seen_at
         limit = now - settings.beat * settings.beats_missed
         for incarnation in self.controller.replica.get('endpoints'):
-            if last_heard(incarnation) < limit:
+            if last_seen_at(incarnation) < limit:
                 self.start_check(incarnation)
         timeout = settings.prober * RESULT_TIMEOUTS
         overdue = [i for i, check in self.checks.items() if now - check.started_at > timeout]
         for incarnation in overdue:
             # The checker itself may be the one that is partitioned.
             check = self.checks[incarnation]
-            self._give_out(incarnation, [*check.earlier_checkers, check.checker])
+            self._assign(incarnation, [*check.earlier_checkers, check.checker])
 
     def start_check(self, incarnation: str) -> None:
         """Have an endpoint checked, unless that is under way."""
         if incarnation not in self.checks or self.controller.replica.get('endpoints', incarnation) is None:
-            self._give_out(incarnation, [])
+            self._assign(incarnation, [])
 
-    def _give_out(self, incarnation: str, earlier_checkers: list[str]) -> None:
+    def _assign(self, incarnation: str, earlier_checkers: list[str]) -> None:
         controller = self.controller
         row = controller.replica.get('endpoints', incarnation)
         if row is None:
@@ -106,7 +106,7 @@
         check = HealthCheck(controller.counts['probes'], controller.now, checker, earlier_checkers)
         self.checks[incarnation] = check
         if checker == controller.node:
-            self._call_endpoint(incarnation, row['addr'], lambda result: self._judge(incarnation, result))
+            self._call_endpoint(incarnation, row['addr'], lambda result: self._apply_result(incarnation, result))
         else:
             request = traffic_messages.EndpointProbe(incarnation=incarnation, address=row['addr'], number=check.number)
             controller.send_message(controller.peers[checker].address, request)
@@ -137,9 +137,11 @@
         if message.number is not None and message.number != check.number:
             return
         if self.controller.is_leader:
-            self._judge(message.incarnation, HealthCheckResult(message.is_healthy, message.is_connection_refused))
+            self._apply_result(
+                message.incarnation, HealthCheckResult(message.is_healthy, message.is_connection_refused)
+            )
 
-    def _judge(self, incarnation: str, result: HealthCheckResult) -> None:
+    def _apply_result(self, incarnation: str, result: HealthCheckResult) -> None:
         if self.checks.pop(incarnation, None) is None or not self.controller.is_leader:
             return
         if result.is_healthy:
@@ -220,10 +222,10 @@
 
 def _result_of(call: HealthCheckCall, response: effects.HttpResult) -> HealthCheckResult:
     # A newcomer on the address answers as well, but it is not the incarnation that is checked.
-    answering = response.headers.get('zt-inc')
+    responding_incarnation = response.headers.get('zt-inc')
     if call.is_plain and not response.fault:
         # Whoever answers is there; what it says of its health may be false, and outlier detection judges that.
-        is_expected = answering in (call.incarnation, None, '')
+        is_expected = responding_incarnation in (call.incarnation, None, '')
         return HealthCheckResult(is_expected, not is_expected)
-    is_healthy = response.status == 200 and answering == call.incarnation
+    is_healthy = response.status == 200 and responding_incarnation == call.incarnation
     return HealthCheckResult(is_healthy, 'ConnectionRefused' in response.fault)
--- a/zinctrail/control/endpoint_registry.py
+++ b/zinctrail/control/endpoint_registry.py
@@ -23,7 +23,7 @@
 TOMBSTONES_TABLE = retention.TOMBSTONES_TABLE
 
 
-def _left_key(incarnation: str) -> str:
+def _deregistration_key(incarnation: str) -> str:
     """The tombstone of an incarnation that left by its own word: no heartbeat brings it back."""
     return f'{incarnation}/left'
 
@@ -46,13 +46,13 @@
         self.leader_since = self.controller.now
         self.last_heartbeats = {}
 
-    def last_heard(self, incarnation: str) -> datetime.timedelta:
+    def last_seen_at(self, incarnation: str) -> datetime.timedelta:
         """When an endpoint was last heard of, or since when this node could have heard of it."""
         return self.last_heartbeats.get(incarnation, self.leader_since)
 
     # -- heartbeats by way of a follower ----------------------------------
 
-    def take_heartbeat(self, heartbeat: dict, answer: replies.Callback) -> None:
+    def take_heartbeat(self, heartbeat: dict, respond: replies.Callback) -> None:
         """A heartbeat that came to this node: the leader need not be asked if it says nothing new."""
         heartbeats.check(heartbeat)
         controller = self.controller
@@ -64,11 +64,11 @@
             and heartbeats.is_unchanged(controller.replica.get(TABLE, incarnation), heartbeats.to_row(heartbeat))
         ):
             self.unreported_heartbeats.add(incarnation)
-            answer(replies.ok(epoch=controller.replica.get('meta', 'epoch') or 0))
+            respond(replies.ok(epoch=controller.replica.get('meta', 'epoch') or 0))
         else:
-            controller.request_operation('beat', heartbeat, answer)
+            controller.request_operation('beat', heartbeat, respond)
 
-    def take_unreported(self) -> list[str]:
+    def pop_unreported(self) -> list[str]:
         """The endpoints that were heard of here since the last response to the leader."""
         received, self.unreported_heartbeats = self.unreported_heartbeats, set()
         return sorted(received)
@@ -116,7 +116,7 @@
         if row['state'] == heartbeats.LEAVING:
             self.remove_endpoint(txn, incarnation)
             if sequence is not None:
-                self._mark_left(txn, incarnation)
+                self._mark_deregistered(txn, incarnation)
             return replies.ok()
         self._drop_predecessors(txn, incarnation, row)
         registered: rows.EndpointRow = row if sequence is None else {**row, 'seq': sequence}
@@ -124,7 +124,7 @@
             if sequence == known.get('seq'):
                 # The same heartbeat, retried at another leader, says nothing new of the warm-up.
                 return replies.ok()
-            if known['chill'] == evacuations.CHILLED:
+            if known['chill'] == evacuations.WARM_UP_ASSUMED:
                 # One heartbeat does not end it: it may have been sent before the endpoint got cold.
                 registered['chill'] = 1
         txn.put(TABLE, incarnation, known if heartbeats.is_unchanged(known, row) else registered)
@@ -141,7 +141,7 @@
     ) -> bool:
         """Whether a numbered heartbeat counts, after what the state holds of its incarnation; may revive it."""
         known = txn.get(TABLE, incarnation)
-        if txn.get(TOMBSTONES_TABLE, _left_key(incarnation)) is not None:
+        if txn.get(TOMBSTONES_TABLE, _deregistration_key(incarnation)) is not None:
             # It left by its own word, so this was sent before.
             return False
         if known and sequence < known.get('seq', 0):
@@ -161,7 +161,7 @@
 
         def sign_off(txn: transactions.Transaction) -> replies.Result:
             self.remove_endpoint(txn, incarnation)
-            self._mark_left(txn, incarnation)
+            self._mark_deregistered(txn, incarnation)
             return replies.ok()
 
         self.controller.submit(sign_off, callback, for_caller=True)
@@ -178,9 +178,9 @@
         row = txn.get(TABLE, incarnation)
         if row and row.get('plain') and row['state'] == 'draining':
             # It said that it goes, which a late heartbeat from before must not undo.
-            self._mark_left(txn, incarnation)
+            self._mark_deregistered(txn, incarnation)
         txn.drop(TABLE, incarnation)
         txn.put(TOMBSTONES_TABLE, incarnation, txn.get('meta', 'epoch') or 0)
 
-    def _mark_left(self, txn: transactions.Transaction, incarnation: str) -> None:
-        txn.put(TOMBSTONES_TABLE, _left_key(incarnation), txn.get('meta', 'epoch') or 0)
+    def _mark_deregistered(self, txn: transactions.Transaction, incarnation: str) -> None:
+        txn.put(TOMBSTONES_TABLE, _deregistration_key(incarnation), txn.get('meta', 'epoch') or 0)
--- a/zinctrail/control/epochs.py
+++ b/zinctrail/control/epochs.py
@@ -35,7 +35,7 @@
             txn.put('meta', 'epoch', epoch)
             retention.drop_expired(txn, epoch, controller.settings.epochs_kept)
             version_contents.trim(txn)
-            evacuations.forget_old_ids(txn)
+            evacuations.drop_old_ids(txn)
             controller.singleton_roles.place(txn)
             return replies.ok()
 
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -26,7 +26,7 @@
 # How many orders on a zone are taken within an epoch; further ones are refused, so that all that were taken are known.
 MAX_COMMAND_IDS = 512
 # EndpointRow.chill of an endpoint that counts as cold until two heartbeats of its own have said otherwise.
-CHILLED = 2
+WARM_UP_ASSUMED = 2
 MAX_ZONE_LENGTH = 300
 RETRY_MS = 200
 RETRY_UNREAD_MS = 300
@@ -37,7 +37,7 @@
 
 def read_number(txn: transactions.Transaction, args: dict) -> replies.Result:
     """Operation `cell.order` {cell}: the number that the next order on a zone has to be based on."""
-    return replies.ok(number=_order(txn, _zone(args))['number'])
+    return replies.ok(number=_commands(txn, _zone(args))['number'])
 
 
 def apply(txn: transactions.Transaction, args: dict) -> replies.Result:
@@ -49,37 +49,37 @@
     zone, is_evacuation = _zone(args), args.get('on')
     if not isinstance(is_evacuation, bool):
         raise errors.BadRequestError('on must be true or false')
-    order = _order(txn, zone)
-    ids, earlier_ids = order['ids'], order.get('past', [])
+    commands = _commands(txn, zone)
+    ids, earlier_ids = commands['ids'], commands.get('past', [])
     # Nodes of earlier releases send neither an id nor a number.
     if 'id' in args:
-        order_id = arguments.text(args, 'id')
-        if order_id in ids or order_id in earlier_ids:
+        command_id = arguments.text(args, 'id')
+        if command_id in ids or command_id in earlier_ids:
             return replies.ok()
         number = arguments.whole_number(args, 'number', 0, arguments.MAX_EXACT_INTEGER, 0)
         # Orders that race for the same end need not wait for each other: at this moment it is as they want it.
-        if number != order['number'] and _is_emptied(txn, zone) != is_evacuation:
-            raise errors.ConflictError('another order on this cell was acknowledged first', number=order['number'])
+        if number != commands['number'] and _is_emptied(txn, zone) != is_evacuation:
+            raise errors.ConflictError('another order on this cell was acknowledged first', number=commands['number'])
         if len(ids) >= MAX_COMMAND_IDS:
             raise errors.UnavailableError('too many orders on this cell', retry_ms=RETRY_MS)
-        ids = [*ids, order_id]
-    txn.put(TABLE, zone, _order_row(order['number'] + 1, ids, earlier_ids))
+        ids = [*ids, command_id]
+    txn.put(TABLE, zone, _commands_row(commands['number'] + 1, ids, earlier_ids))
     _set_emptied(txn, zone, is_evacuation)
     return replies.ok()
 
 
-def forget_old_ids(txn: transactions.Transaction) -> None:
+def drop_old_ids(txn: transactions.Transaction) -> None:
     """At the begin of an epoch, forget the orders that were taken before the epoch that has ended.
 
     So each is known for an epoch at least, which is longer than a call is sent again for (setting `call`).
     """
-    for zone, order in txn.items(TABLE).items():
-        if order['ids'] or order.get('past'):
-            txn.put(TABLE, zone, _order_row(order['number'], [], order['ids']))
+    for zone, commands in txn.items(TABLE).items():
+        if commands['ids'] or commands.get('past'):
+            txn.put(TABLE, zone, _commands_row(commands['number'], [], commands['ids']))
 
 
-def _order_row(number: int, ids: list[str], earlier_ids: list[str]) -> rows.EvacuationOrderRow:
-    row: rows.EvacuationOrderRow = {'number': number, 'ids': ids}
+def _commands_row(number: int, ids: list[str], earlier_ids: list[str]) -> rows.EvacuationCommandRow:
+    row: rows.EvacuationCommandRow = {'number': number, 'ids': ids}
     if earlier_ids:
         row['past'] = earlier_ids
     return row
@@ -89,8 +89,8 @@
     return arguments.text(args, 'cell', MAX_ZONE_LENGTH)
 
 
-def _order(txn: transactions.Transaction, zone: str) -> rows.EvacuationOrderRow:
-    row: rows.EvacuationOrderRow | None = txn.get(TABLE, zone)
+def _commands(txn: transactions.Transaction, zone: str) -> rows.EvacuationCommandRow:
+    row: rows.EvacuationCommandRow | None = txn.get(TABLE, zone)
     return row if row is not None else {'number': 0, 'ids': []}
 
 
@@ -106,21 +106,21 @@
         row['emptied'] = True
     else:
         del row['emptied']
-        _mark_endpoints_cold(txn, zone)
+        _mark_endpoints_warming_up(txn, zone)
     txn.put(ZONES_TABLE, zone, row)
 
 
-def _mark_endpoints_cold(txn: transactions.Transaction, zone: str) -> None:
+def _mark_endpoints_warming_up(txn: transactions.Transaction, zone: str) -> None:
     """They may have got cold while nobody sent them requests; their next heartbeats tell."""
     for incarnation, endpoint in txn.items('endpoints').items():
         if endpoint['cell'] == zone and endpoint.get('plain'):
-            txn.put('endpoints', incarnation, dict(endpoint, chill=CHILLED))
+            txn.put('endpoints', incarnation, dict(endpoint, chill=WARM_UP_ASSUMED))
 
 
 class EvacuationService(controller_part.ControllerPart):
     """The operations that a leader does."""
 
-    def serve_order(self, args: dict, callback: replies.Callback) -> None:
+    def serve_evacuation(self, args: dict, callback: replies.Callback) -> None:
         """Operation `cell.empty`."""
         self.controller.submit(lambda txn: apply(txn, args), callback, for_caller=True)
 
@@ -143,12 +143,12 @@
 class WaitingCalls(typing.Protocol):
     """The calls that wait at that node."""
 
-    def is_waiting(self, answer: replies.Callback) -> bool:
+    def is_waiting(self, respond: replies.Callback) -> bool:
         """Whether the caller still waits."""
 
     def request_step(
         self,
-        answer: replies.Callback,
+        respond: replies.Callback,
         operation: str,
         args: dict,
         callback: replies.Callback,
@@ -164,47 +164,47 @@
     frozen node finds when it goes on does not act, once its caller is known to have gone.
     """
 
-    def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, answer: replies.Callback):
+    def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, respond: replies.Callback):
         self.node = node
         self.calls = calls
-        self.order = {'cell': body.get('cell'), 'on': body.get('on')}
+        self.commands = {'cell': body.get('cell'), 'on': body.get('on')}
         self.id = f'{node.rng.getrandbits(64):x}'
-        self.answer = answer
+        self.respond = respond
         self.until = node.now + node.settings.call
 
     def start(self) -> None:
         """Take the first step."""
-        self._request('cell.order', {'cell': self.order['cell']}, self._number_read)
+        self._request('cell.order', {'cell': self.commands['cell']}, self._number_read)
 
     def _request(self, operation: str, args: dict, then: replies.Callback) -> None:
         left = self.until - self.node.now
         if left <= durations.ZERO:
-            self.answer(replies.refused(503, 'other orders on this cell came first', retry_ms=RETRY_MS))
+            self.respond(replies.refused(503, 'other orders on this cell came first', retry_ms=RETRY_MS))
             return
 
         def receive(result: replies.Result) -> None:
-            if self.calls.is_waiting(self.answer):
+            if self.calls.is_waiting(self.respond):
                 then(result)
 
-        self.calls.request_step(self.answer, operation, args, receive, left)
+        self.calls.request_step(self.respond, operation, args, receive, left)
 
     def _number_read(self, result: replies.Result) -> None:
         if result['status'] == 200:
             self._act(result['number'])
         elif result['status'] == 404:
             # A leader of an earlier release, which knows no numbers.
-            self._request('cell.empty', self.order, self.answer)
+            self._request('cell.empty', self.commands, self.respond)
         elif result['status'] == 504:
             # The result is unknown, but only a read was requested, so that nothing was done.
-            self.answer(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
+            self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
         else:
-            self.answer(result)
+            self.respond(result)
 
     def _act(self, number: int) -> None:
-        self._request('cell.empty', {**self.order, 'id': self.id, 'number': number}, self._acted)
+        self._request('cell.empty', {**self.commands, 'id': self.id, 'number': number}, self._acted)
 
     def _acted(self, result: replies.Result) -> None:
         if result['status'] == 409 and 'number' in result:
             self._act(result['number'])
         else:
-            self.answer(result)
+            self.respond(result)
--- a/zinctrail/control/heartbeats.py
+++ b/zinctrail/control/heartbeats.py
@@ -38,8 +38,8 @@
         checks.labels('$.labels', heartbeat.get('labels', {}), allows_lists=False)
         checks.whole_number('$.slots', heartbeat.get('slots'), 1, MAX_SLOTS)
         _check_report(checks, heartbeat)
-    if checks.faults:
-        raise document_checks.invalid('invalid beat', checks.faults)
+    if checks.field_errors:
+        raise document_checks.validation_error('invalid beat', checks.field_errors)
 
 
 def _check_report(checks: document_checks.DocumentChecks, heartbeat: dict) -> None:
--- a/zinctrail/control/http_api.py
+++ b/zinctrail/control/http_api.py
@@ -76,7 +76,7 @@
     def status(self) -> dict[str, typing.Any]:
         """The state of this process, as it knows it itself."""
 
-    def take_heartbeat(self, body: dict, answer: replies.Callback) -> None:
+    def take_heartbeat(self, body: dict, respond: replies.Callback) -> None:
         """An endpoint's heartbeat came to this node."""
 
     def request_operation(
@@ -105,19 +105,19 @@
     def serve(self, call_id: CallId, call: effects.HttpRequest) -> None:
         """An HTTP call came in; it gets exactly one response."""
 
-        def answer(result: replies.Result) -> None:
+        def respond(result: replies.Result) -> None:
             # An operation may have its result after its caller was answered or has gone.
-            self.call_steps.pop(answer, None)
+            self.call_steps.pop(respond, None)
             if self.calls.pop(call_id, None):
                 self.member.out.append(to_response(call_id, result))
 
-        self.calls[call_id] = answer
+        self.calls[call_id] = respond
         try:
             if len(self.calls) > self.member.settings.queue_most:
                 raise errors.UnavailableError('busy', retry_ms=RETRY_BUSY_MS)
-            self._page_for(call)(self.member, call, read_body(call), answer)
+            self._page_for(call)(self.member, call, read_body(call), respond)
         except errors.CallError as error:
-            answer(error.to_result())
+            respond(error.to_result())
 
     def _page_for(self, call: effects.HttpRequest) -> Page:
         key = (call.method, call.path)
@@ -127,27 +127,27 @@
             raise errors.CallError(405 if call.path in paths else 404, 'no such page')
         return found
 
-    def hung_up(self, call_id: CallId) -> None:
+    def client_disconnected(self, call_id: CallId) -> None:
         """The caller went away: its operation may still be done, but is not sent to the leader again."""
-        answer = self.calls.pop(call_id, None)
-        if answer is not None:
-            self.member.cancel_operation(self.call_steps.pop(answer, answer))
+        respond = self.calls.pop(call_id, None)
+        if respond is not None:
+            self.member.cancel_operation(self.call_steps.pop(respond, respond))
 
     def request_step(
         self,
-        answer: replies.Callback,
+        respond: replies.Callback,
         operation: str,
         args: dict,
         callback: replies.Callback,
         timeout: datetime.timedelta,
     ) -> None:
         """Have the leader do one operation of a call that takes several; `callback` gets its result."""
-        self.call_steps[answer] = callback
+        self.call_steps[respond] = callback
         self.member.request_operation(operation, args, callback, timeout)
 
-    def is_waiting(self, answer: replies.Callback) -> bool:
+    def is_waiting(self, respond: replies.Callback) -> bool:
         """Whether the caller of a call that takes several operations still waits."""
-        return answer in self.call_steps
+        return respond in self.call_steps
 
     def readiness(self) -> tuple[bool, str]:
         """Whether the process should be sent calls, and if not, why."""
@@ -198,121 +198,121 @@
 
 
 @page('GET', '/v1/ready')
-def page_ready(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_ready(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Whether the process should be sent calls: 200 or 503."""
-    is_ready, reason = machine.ready()
-    answer({'status': 200 if is_ready else 503, 'ready': is_ready, 'why': reason})
+    is_ready, reason = member.ready()
+    respond({'status': 200 if is_ready else 503, 'ready': is_ready, 'why': reason})
 
 
 @page('GET', '/v1/live')
-def page_live(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_live(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """That the process runs, and its release."""
-    answer(replies.ok(release=zinctrail.__version__))
+    respond(replies.ok(release=zinctrail.__version__))
 
 
 @page('GET', '/v1/self')
-def page_self(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_self(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """The state of this process, as it knows it itself."""
-    answer(replies.ok(state=machine.status()))
+    respond(replies.ok(state=member.status()))
 
 
 @page('GET', '/v1/epoch')
-def page_epoch(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_epoch(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """The epoch that ids are to begin with; a slightly old one is as good, so the leader is not asked."""
-    epoch = machine.replica.get('meta', 'epoch')
-    answer(replies.ok(epoch=epoch) if epoch else replies.refused(503, 'no epoch yet'))
+    epoch = member.replica.get('meta', 'epoch')
+    respond(replies.ok(epoch=epoch) if epoch else replies.refused(503, 'no epoch yet'))
 
 
 # -- the cluster --------------------------------------------------------------
 
 
 @page('GET', '/v1/status')
-def page_status(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_status(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """The state of the cluster, as its leader knows it."""
-    machine.request_operation('status', {}, answer)
+    member.request_operation('status', {}, respond)
 
 
 @page('GET', '/v1/copy')
-def page_replica(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_replica(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """All that this process holds of the replicated state, for a recovery."""
-    answer(recovery.export_replica(machine))
+    respond(recovery.export_replica(member))
 
 
 @page('GET', '/v1/copy/brief')
 def page_replica_summary(
-    machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback
+    member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback
 ) -> None:
     """As /v1/copy, without the tables."""
-    answer(recovery.export_replica(machine, with_tables=False))
+    respond(recovery.export_replica(member, with_tables=False))
 
 
 @page('POST', '/v1/recover')
-def page_recover(machine: typing.Any, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_recover(member: typing.Any, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Begin a new cluster out of replicas of a lost one, on an empty control node."""
-    if machine.role != member_roles.CONTROL_NODE:
+    if member.role != member_roles.CONTROL_NODE:
         raise errors.ConflictError('is no control node')
     recovery.check(body)
-    answer(machine.take_recovery(body))
+    respond(member.take_recovery(body))
 
 
 # -- configuration ------------------------------------------------------------
 
 
 @page('GET', '/v1/config')
-def page_get_config(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_get_config(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """The operators' document."""
-    machine.request_operation('config.get', {}, answer)
+    member.request_operation('config.get', {}, respond)
 
 
 @page('PUT', '/v1/config')
-def page_put_config(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_put_config(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Replace the operators' document, if it still is of the generation `base`."""
     check_fields(body, 'config', 'base', 'wait', 'id')
     # With an id a retry after a lost result is answered with that result, and not taken for a conflict.
-    default_id = f'{machine.replica.get("meta", "epoch") or 0}.{machine.rng.getrandbits(64):x}'
-    machine.request_operation('config.apply', {'id': default_id, **body}, answer, CONFIGURATION_TIMEOUT)
+    default_id = f'{member.replica.get("meta", "epoch") or 0}.{member.rng.getrandbits(64):x}'
+    member.request_operation('config.apply', {'id': default_id, **body}, respond, CONFIGURATION_TIMEOUT)
 
 
 @page('POST', '/v1/config/check')
-def page_check_config(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_check_config(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Whether a document is valid, without applying it."""
     check_fields(body, 'config')
-    machine.request_operation('config.check', body, answer)
+    member.request_operation('config.check', body, respond)
 
 
 @page('PATCH', '/v1/items')
-def page_patch_items(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_patch_items(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Set and drop configuration items of open traffic."""
-    machine.request_operation('items.apply', {'change': body}, answer, CONFIGURATION_TIMEOUT)
+    member.request_operation('items.apply', {'change': body}, respond, CONFIGURATION_TIMEOUT)
 
 
 @page('GET', '/v1/items')
-def page_get_items(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_get_items(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """The configuration items of open traffic."""
-    machine.request_operation('items.get', {}, answer)
+    member.request_operation('items.get', {}, respond)
 
 
 @page('POST', '/v1/cell/empty')
-def page_evacuate(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_evacuate(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Evacuate a zone's endpoints, or withdraw that."""
     check_fields(body, 'cell', 'on')
-    evacuations.EvacuationCall(machine, machine.http_api, body, answer).start()
+    evacuations.EvacuationCall(member, member.http_api, body, respond).start()
 
 
 # -- endpoints ----------------------------------------------------------------
 
 
 @page('POST', '/v1/beat')
-def page_heartbeat(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_heartbeat(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """An endpoint's heartbeat."""
-    machine.take_heartbeat(body, answer)
+    member.take_heartbeat(body, respond)
 
 
 @page('POST', '/v1/leave')
-def page_leave(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
+def page_leave(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """An endpoint signs off."""
     check_fields(body, 'inc')
-    machine.request_operation('leave', body, answer)
+    member.request_operation('leave', body, respond)
 
 
 # -- coordination for applications --------------------------------------------
@@ -321,8 +321,8 @@
 def _coordination_page(operation: str) -> Page:
     timeout = WATCH_TIMEOUT if operation.endswith('.watch') else None
 
-    def relay(machine: ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback) -> None:
-        machine.request_operation(operation, body, answer, timeout)
+    def relay(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
+        member.request_operation(operation, body, respond, timeout)
 
     return relay
 
--- a/zinctrail/control/keys.py
+++ b/zinctrail/control/keys.py
@@ -88,7 +88,7 @@
     """
     prefix = args.get('prefix', '')
     since = arguments.whole_number(args, 'since', 0, arguments.MAX_EXACT_INTEGER, 0)
-    oldest = revisions.oldest_kept(txn)
+    oldest = revisions.compacted_revision(txn)
     if since < oldest:
         raise errors.GoneError('further back than the history kept', floor=oldest, head=revisions.current(txn))
     events = [
--- a/zinctrail/control/leader_operations.py
+++ b/zinctrail/control/leader_operations.py
@@ -42,7 +42,7 @@
     'leave': lambda controller: controller.endpoint_registry.serve_leave,
     'items.apply': lambda controller: controller.configuration_changes.serve_items,
     'items.get': lambda controller: controller.configuration_changes.serve_items_get,
-    'cell.empty': lambda controller: controller.evacuation_service.serve_order,
+    'cell.empty': lambda controller: controller.evacuation_service.serve_evacuation,
     'cell.order': lambda controller: controller.evacuation_service.serve_number,
     'config.apply': lambda controller: controller.configuration_changes.serve_apply,
     'config.get': lambda controller: controller.configuration_changes.serve_get,
--- a/zinctrail/control/lookup_metrics.py
+++ b/zinctrail/control/lookup_metrics.py
@@ -3,13 +3,13 @@
 import collections
 import typing
 
-import zinctrail.control.front_choice as front_choice
+import zinctrail.control.ingress_selection as ingress_selection
 import zinctrail.runtime.metrics as metrics
 
 # The farthest proxy that an answer names: in the zone of the client, elsewhere in its region, in another region.
-REACHES = ('cell', 'region', 'elsewhere')
+DISTANCES = ('cell', 'region', 'elsewhere')
 # For how many zones it is remembered whether their answers name other regions; requests may name any zone.
-ZONES_MOST = 1000
+MAX_ZONES = 1000
 
 
 class LoggingMember(typing.Protocol):
@@ -24,17 +24,17 @@
 
     def __init__(self, member: LoggingMember):
         self.member = member
-        self.answers: collections.Counter[str] = collections.Counter()
+        self.responses: collections.Counter[str] = collections.Counter()
         # Zones whose last answer named proxies of other regions.
         self.spilling: set[str] = set()
 
-    def observe(self, zone: str, chosen: front_choice.ChosenFronts) -> None:
+    def observe(self, zone: str, chosen: ingress_selection.SelectedIngresses) -> None:
         """An answer for a zone names these proxies."""
         in_zone, in_region, elsewhere = chosen
-        self.answers['elsewhere' if elsewhere else 'region' if in_region else 'cell'] += 1
+        self.responses['elsewhere' if elsewhere else 'region' if in_region else 'cell'] += 1
         if bool(elsewhere) == (zone in self.spilling):
             return
-        if elsewhere and len(self.spilling) < ZONES_MOST:
+        if elsewhere and len(self.spilling) < MAX_ZONES:
             self.spilling.add(zone)
         else:
             self.spilling.discard(zone)
@@ -53,5 +53,5 @@
             'lookups',
             'Answers to clients that look proxies up, by the farthest that they name.',
             'reach',
-            {reach: self.answers[reach] for reach in REACHES},
+            {reach: self.responses[reach] for reach in DISTANCES},
         )
--- a/zinctrail/control/outlier_detection.py
+++ b/zinctrail/control/outlier_detection.py
@@ -25,17 +25,17 @@
 # How long a report counts.
 WINDOW = durations.ms(2500)
 # What an ejection takes: so many failures, from so many proxies, and such a ratio of failures to all results.
-FAILURES_LEAST = 3
-REPORTERS_LEAST = 2
-FAILURE_RATIO_LEAST = 0.3
+MIN_FAILURES = 3
+MIN_REPORTERS = 2
+MIN_FAILURE_RATIO = 0.3
 # Of a service's endpoints, one in so many may be ejected at once.
 ENDPOINTS_PER_EJECTION = 4
 # How long an ejection lasts. It is doubled each time the endpoint is ejected again, up to the most; how long after
 # an ejection's end another one counts as again.
-EJECTION, EJECTION_MOST = durations.ms(3000), durations.ms(12000)
-REPEAT_WINDOW = durations.ms(10000)
+BASE_EJECTION_DURATION, MAX_EJECTION_DURATION = durations.ms(3000), durations.ms(12000)
+REPEATED_EJECTION_WINDOW = durations.ms(10000)
 # How many reports are kept of an endpoint.
-REPORTS_MOST = 256
+MAX_REPORTS = 256
 
 
 class Report(typing.NamedTuple):
@@ -59,13 +59,13 @@
 
     def __init__(self):
         self.reports: dict[str, collections.deque[Report]] = {}
-        # The last ejection of each endpoint; kept for REPEAT_WINDOW after its end.
+        # The last ejection of each endpoint; kept for REPEATED_EJECTION_WINDOW after its end.
         self.ejections: dict[str, Ejection] = {}
 
     def record(self, now: datetime.timedelta, proxy: str, counts: dict[str, list[int]]) -> None:
         """Take a proxy's report: {incarnation: [served, failed]} since its last one."""
         for incarnation, (served, failed) in counts.items():
-            reports = self.reports.setdefault(incarnation, collections.deque(maxlen=REPORTS_MOST))
+            reports = self.reports.setdefault(incarnation, collections.deque(maxlen=MAX_REPORTS))
             reports.append(Report(now, proxy, served, failed))
 
     def evaluate(self, now: datetime.timedelta, endpoints: dict[str, rows.EndpointRow], proxies: int) -> set[str]:
@@ -89,7 +89,7 @@
         for incarnation in [i for i in self.reports if i not in endpoints]:
             del self.reports[incarnation]
         for incarnation, ejection in list(self.ejections.items()):
-            if incarnation not in endpoints or ejection.until + REPEAT_WINDOW <= now:
+            if incarnation not in endpoints or ejection.until + REPEATED_EJECTION_WINDOW <= now:
                 del self.ejections[incarnation]
         for incarnation, reports in list(self.reports.items()):
             while reports and reports[0].at <= now - WINDOW:
@@ -105,17 +105,17 @@
             results = failed + sum(report.served for report in reports)
             if (
                 incarnation not in ejected
-                and failed >= FAILURES_LEAST
-                and failed >= FAILURE_RATIO_LEAST * results
-                and len({report.proxy for report in reports}) >= min(REPORTERS_LEAST, proxies)
+                and failed >= MIN_FAILURES
+                and failed >= MIN_FAILURE_RATIO * results
+                and len({report.proxy for report in reports}) >= min(MIN_REPORTERS, proxies)
             ):
                 outliers.append((-failed / results, incarnation))
         return outliers
 
     def _eject(self, now: datetime.timedelta, incarnation: str) -> None:
-        duration = EJECTION
+        duration = BASE_EJECTION_DURATION
         if incarnation in self.ejections:
-            duration = min(EJECTION_MOST, self.ejections[incarnation].duration * 2)
+            duration = min(MAX_EJECTION_DURATION, self.ejections[incarnation].duration * 2)
         self.ejections[incarnation] = Ejection(now + duration, duration)
         # It is judged anew by what it does from now on.
         del self.reports[incarnation]
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -11,8 +11,8 @@
 import zinctrail.consensus.member_roles as member_roles
 import zinctrail.consensus.node_location as node_location
 import zinctrail.consensus.replica as replica
-import zinctrail.control.front_choice as front_choice
 import zinctrail.control.http_api as http_api
+import zinctrail.control.ingress_selection as ingress_selection
 import zinctrail.control.lookup_metrics as lookup_metrics
 import zinctrail.control.replies as replies
 import zinctrail.control.routing_table as routing_table
@@ -22,10 +22,10 @@
 import zinctrail.runtime.effects as effects
 import zinctrail.runtime.settings as settings
 
-PROXIES_DEFAULT = 3
-PROXIES_MOST = 64
+DEFAULT_PROXIES = 3
+MAX_PROXIES = 64
 # How many other directories an answer names.
-DIRECTORIES_MOST = 3
+MAX_DIRECTORIES = 3
 # How far a proxy is from a client.
 IN_ZONE, IN_REGION, ELSEWHERE = range(3)
 RETRY_WITHOUT_LEASE_MS = 300
@@ -59,7 +59,7 @@
         self.member = member
         self.metrics = lookup_metrics.LookupMetrics(member)
 
-    def answer(self, body: dict, answer: replies.Callback) -> None:
+    def serve(self, body: dict, respond: replies.Callback) -> None:
         """POST /v1/answer: {home: [regions], cell: zone, most: N, front: bool, host: name}, all of them optional.
 
         With `front` the addresses for open traffic are answered, those for the
@@ -69,14 +69,14 @@
         http_api.check_fields(body, 'home', 'cell', 'most', 'front', 'host')
         home = body.get('home', [])
         zone = body.get('cell', self.member.location.cell)
-        most = body.get('most', PROXIES_DEFAULT)
+        most = body.get('most', DEFAULT_PROXIES)
         if not isinstance(home, list) or not all(isinstance(region, str) for region in home):
             raise errors.BadRequestError('home must be a list of regions')
         host = body.get('host', '')
         if not isinstance(zone, str) or not isinstance(host, str):
             raise errors.BadRequestError('cell and host must be texts')
-        if isinstance(most, bool) or not isinstance(most, int) or not 1 <= most <= PROXIES_MOST:
-            raise errors.BadRequestError(f'most must be a whole number from 1 to {PROXIES_MOST}')
+        if isinstance(most, bool) or not isinstance(most, int) or not 1 <= most <= MAX_PROXIES:
+            raise errors.BadRequestError(f'most must be a whole number from 1 to {MAX_PROXIES}')
         if not self.member.leased():
             # A client would go on acting on a stale answer, so none is given.
             raise errors.UnavailableError(
@@ -85,7 +85,7 @@
         is_open_traffic = body.get('front', False)
         if not isinstance(is_open_traffic, bool):
             raise errors.BadRequestError('front must be true or false')
-        answer(self.find_ingresses(zone, most, host) if is_open_traffic else self.find_proxies(home, zone, most))
+        respond(self.find_ingresses(zone, most, host) if is_open_traffic else self.find_proxies(home, zone, most))
 
     def _others(self, role: str) -> list[str]:
         """The HTTP addresses of the other members of a role."""
@@ -117,11 +117,11 @@
         proxies.sort(key=distance)
         near = sum(distance(member) < ELSEWHERE for member in proxies)
         return replies.ok(
-            proxies=[member['http'] for member in proxies[: min(most, max(near, front_choice.FRONTS_LEAST))]],
+            proxies=[member['http'] for member in proxies[: min(most, max(near, ingress_selection.MIN_INGRESSES))]],
             ttl_ms=self._time_to_live_ms(),
             epoch=self.member.replica.get('meta', 'epoch') or 0,
             generation=self.member.replica.committed[1],
-            dirs=self._others(member_roles.DIRECTORY)[:DIRECTORIES_MOST],
+            dirs=self._others(member_roles.DIRECTORY)[:MAX_DIRECTORIES],
         )
 
     def _may_carry(self, member: rows.MemberRow, home: list[str]) -> bool:
@@ -135,7 +135,7 @@
         """The fronts for open traffic of a client in a zone, and for a host where one is named."""
         routes = self.member.routes
         homes = routes.homes_of_host(routing_table.without_port(host))
-        chosen = front_choice.choose(routes.fronts(zone), homes, most, self.member.rng)
+        chosen = ingress_selection.select(routes.ingresses(zone), homes, most, self.member.rng)
         addresses = chosen.addresses()
         if not addresses:
             raise errors.UnavailableError('no proxy may carry this now', retry_ms=RETRY_WITHOUT_PROXY_MS)
@@ -148,10 +148,10 @@
 
 
 def page_answer(
-    machine: http_api.ServingMember, call: effects.HttpRequest, body: dict, answer: replies.Callback
+    member: http_api.ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback
 ) -> None:
     """Which proxies a client may use."""
-    machine.proxy_lookup.answer(body, answer)
+    member.proxy_lookup.serve(body, respond)
 
 
 # As http_api.PAGES.
--- a/zinctrail/control/recovery.py
+++ b/zinctrail/control/recovery.py
@@ -18,7 +18,7 @@
 # counted up to, and nobody counts as far as this.
 TERMS_SKIPPED, GENERATIONS_SKIPPED, EPOCHS_SKIPPED, NUMBERS_SKIPPED = 1000, 10**6, 1000, 1 << 44
 # Tables that outlive a recovery; the leap of the epoch settles claims, results of calls, locks and events.
-TABLES_KEPT = ('conf', 'items', 'cells', 'endpoints', 'keys', 'goners')
+RETAINED_TABLES = ('conf', 'items', 'cells', 'endpoints', 'keys', 'goners')
 # For so many epochs no locks are given out: a lock that an owner still counts on must not be given to another, and a
 # lease is 60 s at most.
 EPOCHS_WITHOUT_LOCKS = 7
@@ -69,22 +69,22 @@
     replica: replica.Replica
 
 
-def export_replica(machine: ExportingMember, with_tables: bool = True) -> ReplicaExport:
+def export_replica(member: ExportingMember, with_tables: bool = True) -> ReplicaExport:
     """What a process holds of the replicated state, and what it knows of its cluster."""
-    state = machine.replica
+    state = member.replica
     summary: ReplicaExport = {
         'status': 200,
-        'id': machine.node,
-        'role': machine.role,
-        'cell': machine.location.cell,
-        'addr': machine.location.addr,
-        'http': machine.location.http,
-        'cluster': machine.cluster,
-        'term': machine.term,
+        'id': member.node,
+        'role': member.role,
+        'cell': member.location.cell,
+        'addr': member.location.addr,
+        'http': member.location.http,
+        'cluster': member.cluster,
+        'term': member.term,
         'accepted': list(state.accepted),
         'committed': list(state.committed),
-        'mode': machine.mode,
-        'master': machine.leader,
+        'mode': member.mode,
+        'master': member.leader,
         'voters': state.latest('meta', 'vc'),
         'epoch': state.latest('meta', 'epoch') or 0,
         'conf': state.latest('meta', 'conf') or 0,
@@ -103,32 +103,32 @@
 
     def __init__(self, replicas: list[ReplicaExport], target: str | None):
         self.faults: list[str] = []
-        found = [r for r in replicas if r['cluster'] and r['accepted'] > [0, 0]]
-        self.clusters = sorted({r['cluster'] for r in found})
+        stored = [r for r in replicas if r['cluster'] and r['accepted'] > [0, 0]]
+        self.clusters = sorted({r['cluster'] for r in stored})
         self.target = next((r for r in replicas if r['http'] == target), None)
         # The replica that the routes are taken from; the newest, and of the newest a control node's.
-        self.routes = max(found, key=lambda r: (r['accepted'], r['role'] == member_roles.CONTROL_NODE), default=None)
+        self.routes = max(stored, key=lambda r: (r['accepted'], r['role'] == member_roles.CONTROL_NODE), default=None)
         # The replica that keys and numbers are taken from, which only voters keep.
-        voters_found = [r for r in found if r['role'] == member_roles.CONTROL_NODE]
+        voters_found = [r for r in stored if r['role'] == member_roles.CONTROL_NODE]
         self.coordination = max(voters_found, key=lambda r: r['accepted'], default=None)
         voting_set = self.routes.get('voters') if self.routes else None
         self.voters = (voting_set or {}).get('accepted', [])
-        self.answering = sorted(r['id'] for r in voters_found if r['id'] in self.voters)
-        self.lost = sorted(set(self.voters) - set(self.answering))
-        self._check_replicas(found)
+        self.reachable_voters = sorted(r['id'] for r in voters_found if r['id'] in self.voters)
+        self.lost_voters = sorted(set(self.voters) - set(self.reachable_voters))
+        self._check_replicas(stored)
         self._check_target(target)
 
-    def _check_replicas(self, found: list[ReplicaExport]) -> None:
-        if not found:
+    def _check_replicas(self, stored: list[ReplicaExport]) -> None:
+        if not stored:
             self.faults.append('none of the processes asked holds a copy')
         if len(self.clusters) > 1:
             self.faults.append(f'copies of several clusters were found: {", ".join(self.clusters)}')
-        led = sorted(r['http'] for r in found if r['master'])
-        if led:
-            self.faults.append(f'there is a master still, or was a moment ago, by the word of {", ".join(led)}')
-        if replica.quorum(self.answering, self.voters):
+        with_leader = sorted(r['http'] for r in stored if r['master'])
+        if with_leader:
+            self.faults.append(f'there is a master still, or was a moment ago, by the word of {", ".join(with_leader)}')
+        if replica.quorum(self.reachable_voters, self.voters):
             self.faults.append(
-                f'a majority of the voters is there ({len(self.answering)} of {len(self.voters)}):'
+                f'a majority of the voters is there ({len(self.reachable_voters)} of {len(self.voters)}):'
                 ' they elect by themselves'
             )
 
@@ -151,7 +151,7 @@
         routes, coordination = self.routes, self.coordination
         return [
             f'cluster {" ".join(self.clusters)}',
-            f'voters {len(self.voters)}, of which {len(self.answering)} answer; taken for lost: {", ".join(self.lost)}',
+            f'voters {len(self.voters)}, of which {len(self.reachable_voters)} answer; taken for lost: {", ".join(self.lost_voters)}',
             f'newest routes and configuration: generation {routes["accepted"][1]} of term {routes["accepted"][0]},'
             f' configuration {routes["conf"]}, at {routes["role"]} {routes["http"]}',
             'what was accepted later, if anything, is lost',
@@ -170,8 +170,8 @@
         sources = [self.routes]
         if self.coordination:
             sources.append(self.coordination)
-            found = self.coordination['tables']
-            tables.update({table: rows for table, rows in found.items() if table not in replica.ROUTES})
+            stored = self.coordination['tables']
+            tables.update({table: rows for table, rows in stored.items() if table not in replica.ROUTES})
         return {
             'cluster': self.clusters[0],
             'term': max(source['term'] for source in sources),
@@ -208,13 +208,13 @@
 
 def initial_state(body: dict, cluster: str, node: str, member: messages.MemberRow) -> InitialState:
     """What a recovered cluster begins with: counters certainly above all that were, one voter, no locks."""
-    found = body['tables']
-    meta = found.get('meta', {})
+    stored = body['tables']
+    meta = stored.get('meta', {})
     recoveries = (meta.get('recovered') or 0) + 1
     epoch = (meta.get('epoch') or 0) + EPOCHS_SKIPPED
     generation = body['generation'] + GENERATIONS_SKIPPED
-    tables = {table: dict(found.get(table, {})) for table in TABLES_KEPT}
-    tables['numbers'] = _initial_numbers(found.get('numbers', {}), recoveries * NUMBERS_SKIPPED)
+    tables = {table: dict(stored.get(table, {})) for table in RETAINED_TABLES}
+    tables['numbers'] = _initial_numbers(stored.get('numbers', {}), recoveries * NUMBERS_SKIPPED)
     tables['members'] = {node: member}
     voters = [node]
     tables['meta'] = {
@@ -223,17 +223,17 @@
         'boot': voters,
         'routes': [0, generation],
         'epoch': epoch,
-        'conf': generation if found.get('conf') else 0,
+        'conf': generation if stored.get('conf') else 0,
         'recovered': recoveries,
         'locks_from': epoch + EPOCHS_WITHOUT_LOCKS,
         'retired': sorted({*meta.get('retired', ()), body['cluster']}),
-        'known': sorted(row['addr'] for row in found.get('members', {}).values()),
+        'known': sorted(row['addr'] for row in stored.get('members', {}).values()),
     }
     return InitialState(generation, {table: rows for table, rows in tables.items() if rows})
 
 
-def _initial_numbers(found: dict[str, int], base: int) -> dict[str, int]:
-    numbers = {name: max(number, base) for name, number in found.items() if not name.startswith('/')}
+def _initial_numbers(stored: dict[str, int], base: int) -> dict[str, int]:
+    numbers = {name: max(number, base) for name, number in stored.items() if not name.startswith('/')}
     # Events were lost: with its oldest revision at the head, the history makes every watcher read anew.
     return dict(numbers, **{'/rev': base, '/floor': base, '/base': base})
 
--- a/zinctrail/control/registers.py
+++ b/zinctrail/control/registers.py
@@ -22,7 +22,7 @@
 GROUPS_TABLE = 'groups'
 CHANGES_TABLE = 'changes'
 # {group: the revision up to which its changes were dropped}
-OLDEST_TABLE = 'floors'
+COMPACTED_TABLE = 'floors'
 # Earlier values that a register keeps itself, so that most retries are recognized without a look at the history.
 MAX_PAST_VALUES = 24
 
@@ -99,7 +99,7 @@
     present = _group_revision(txn, group)
     if since == 0 or since >= present:
         return replies.ok(events=[], rev=present)
-    if since < (txn.get(OLDEST_TABLE, group) or 0):
+    if since < (txn.get(COMPACTED_TABLE, group) or 0):
         raise _history_dropped(present)
     events = []
     for revision in range(since + 1, present + 1):
--- a/zinctrail/control/replies.py
+++ b/zinctrail/control/replies.py
@@ -14,6 +14,6 @@
     return {'status': 200, **fields}
 
 
-def refused(status: int, fault: str, **fields: typing.Any) -> Result:
+def refused(status: int, message: str, **fields: typing.Any) -> Result:
     """A refusal, where nothing can be raised; `retry_ms` among the fields says when to try again."""
-    return {'status': status, 'fault': fault, **fields}
+    return {'status': status, 'fault': message, **fields}
--- a/zinctrail/control/retention.py
+++ b/zinctrail/control/retention.py
@@ -21,13 +21,13 @@
             if row['epoch'] <= newest_expired:
                 txn.drop(table, key)
                 if table == keys.EVENTS_TABLE:
-                    revisions.raise_oldest_kept(txn, row['rev'])
+                    revisions.raise_compacted_revision(txn, row['rev'])
     for key, row in txn.items(registers.CHANGES_TABLE).items():
         if row['epoch'] <= newest_expired:
             txn.drop(registers.CHANGES_TABLE, key)
             group = key.rpartition('/')[0]
-            oldest = txn.get(registers.OLDEST_TABLE, group) or 0
-            txn.put(registers.OLDEST_TABLE, group, max(oldest, row['rev']))
+            oldest = txn.get(registers.COMPACTED_TABLE, group) or 0
+            txn.put(registers.COMPACTED_TABLE, group, max(oldest, row['rev']))
     for incarnation, declared_in in txn.items(TOMBSTONES_TABLE).items():
         if declared_in <= epoch - TOMBSTONE_EPOCHS:
             txn.drop(TOMBSTONES_TABLE, incarnation)
--- a/zinctrail/control/revisions.py
+++ b/zinctrail/control/revisions.py
@@ -9,7 +9,7 @@
 COUNTERS_TABLE = 'numbers'
 REVISION_ROW = '/rev'
 # No event at or below this revision is kept any more.
-OLDEST_ROW = '/floor'
+COMPACTED_ROW = '/floor'
 # Where all counters and revisions begin after a recovery, above any that was given out before; absent otherwise.
 BASE_ROW = '/base'
 
@@ -30,14 +30,14 @@
     return revision
 
 
-def oldest_kept(txn: transactions.Transaction) -> int:
+def compacted_revision(txn: transactions.Transaction) -> int:
     """The revision up to which events were dropped."""
-    return txn.get(COUNTERS_TABLE, OLDEST_ROW) or 0
+    return txn.get(COUNTERS_TABLE, COMPACTED_ROW) or 0
 
 
-def raise_oldest_kept(txn: transactions.Transaction, revision: int) -> None:
+def raise_compacted_revision(txn: transactions.Transaction, revision: int) -> None:
     """Note that the event of a revision was dropped."""
-    txn.put(COUNTERS_TABLE, OLDEST_ROW, max(oldest_kept(txn), revision))
+    txn.put(COUNTERS_TABLE, COMPACTED_ROW, max(compacted_revision(txn), revision))
 
 
 def base(txn: transactions.Transaction) -> int:
--- a/zinctrail/control/routing_table.py
+++ b/zinctrail/control/routing_table.py
@@ -16,7 +16,7 @@
 import zinctrail.control.rows as rows
 
 # For how many zones the fronts are kept between two versions of the state.
-ZONES_KEPT_MOST = 1000
+MAX_CACHED_ZONES = 1000
 # Endpoints report how cold they are in eighths of their capacity (EndpointRow.cold).
 CAPACITY_STEPS = 8
 # The position of an operator's rule that names none.
@@ -29,7 +29,7 @@
 ConfigurationRows = dict[str, typing.Any]
 
 
-class FrontsByDistance(typing.NamedTuple):
+class IngressesByDistance(typing.NamedTuple):
     """Addresses of proxies for open traffic, as seen from a zone."""
 
     in_zone: tuple[str, ...]
@@ -172,7 +172,7 @@
         self.replica = state
         self._derived: DerivedRoutes | None = None
         self._members_by_role: dict[str, dict[str, rows.MemberRow]] = {}
-        self.ingresses_by_zone: dict[str, FrontsByDistance] = {}
+        self.ingresses_by_zone: dict[str, IngressesByDistance] = {}
         # The state version that the two above were derived from.
         self._members_version: tuple[int, int] | None = None
 
@@ -289,7 +289,7 @@
         for node, member in self.replica.get('members').items():
             self._members_by_role.setdefault(member['role'], {})[node] = member
 
-    def fronts(self, zone: str) -> FrontsByDistance:
+    def ingresses(self, zone: str) -> IngressesByDistance:
         """The proxies' addresses for open traffic, by their distance from a zone, without those that leave.
 
         Kept until the next version of the state: callers must not change it.
@@ -298,12 +298,12 @@
         found = self.ingresses_by_zone.get(zone)
         if found is None:
             # Requests may name zones that nobody configured, so the number of those kept has to be bounded.
-            if len(self.ingresses_by_zone) >= ZONES_KEPT_MOST:
+            if len(self.ingresses_by_zone) >= MAX_CACHED_ZONES:
                 self.ingresses_by_zone.clear()
-            found = self.ingresses_by_zone[zone] = self._fronts_from(zone)
+            found = self.ingresses_by_zone[zone] = self._derive_ingresses(zone)
         return found
 
-    def _fronts_from(self, zone: str) -> FrontsByDistance:
+    def _derive_ingresses(self, zone: str) -> IngressesByDistance:
         own_region = self.region_of(zone)
         in_zone: list[str] = []
         in_region: list[str] = []
@@ -318,6 +318,6 @@
                 in_region.append(member['front'])
             else:
                 elsewhere.setdefault(region, []).append(member['front'])
-        return FrontsByDistance(
-            tuple(in_zone), tuple(in_region), {region: tuple(fronts) for region, fronts in elsewhere.items()}
+        return IngressesByDistance(
+            tuple(in_zone), tuple(in_region), {region: tuple(ingresses) for region, ingresses in elsewhere.items()}
         )
--- a/zinctrail/control/rows.py
+++ b/zinctrail/control/rows.py
@@ -94,7 +94,7 @@
     epoch: int
 
 
-class EvacuationOrderRow(typing.TypedDict):
+class EvacuationCommandRow(typing.TypedDict):
     """Table `cell_orders`, by zone: what orders evacuations among each other; kept by voters alone."""
 
     # Rises with each order that is acknowledged.
--- a/zinctrail/control/version_contents.py
+++ b/zinctrail/control/version_contents.py
@@ -35,7 +35,7 @@
     return base64.urlsafe_b64encode(made).decode()
 
 
-def same(one: Content, other: Content) -> bool:
+def is_same(one: Content, other: Content) -> bool:
     """Whether two contents are the same.
 
     Most are compared without a digest, since calls with many items are often retried.
@@ -65,7 +65,7 @@
     return value
 
 
-def begin(txn: transactions.Transaction) -> None:
+def initialize(txn: transactions.Transaction) -> None:
     """Note that every content is remembered, if the first items of a cluster are about to be stored."""
     if txn.get(TABLE, COMPLETE) is None and not txn.items('items'):
         txn.put(TABLE, COMPLETE, True)
--- a/zinctrail/control/watches.py
+++ b/zinctrail/control/watches.py
@@ -57,7 +57,7 @@
         watch = Watch(operation, args, callback, controller.now + durations.ms(wait_ms))
         if len(self.waiting) >= controller.settings.queue_most:
             raise errors.UnavailableError('too many watches', retry_ms=RETRY_TOO_MANY_MS)
-        controller.read(self._reader(watch), lambda result: self._answer_or_keep(watch, result))
+        controller.read(self._reader(watch), lambda result: self._respond_or_wait(watch, result))
 
     def _reader(self, watch: Watch) -> transactions.Work:
         """What looks for the events that a watch waits for."""
@@ -67,7 +67,7 @@
 
         return read
 
-    def _answer_or_keep(self, watch: Watch, result: replies.Result) -> None:
+    def _respond_or_wait(self, watch: Watch, result: replies.Result) -> None:
         has_events = result['status'] != 200 or result['events']
         is_overdue = self.controller.now >= watch.until
         if has_events or is_overdue or not self.controller.is_leader or not watch.is_awaitable():
@@ -77,12 +77,12 @@
             watch.skip_to(result['head'])
         self.waiting.append(watch)
 
-    def await_events(self, rows: replica.Rows | None) -> None:
+    def schedule_responses(self, rows: replica.Rows | None) -> None:
         """These rows came into force: if there are events among them, watches are looked at soon."""
         if any(row[0] in EVENT_TABLES for row in rows or ()):
             self.controller.set_timer('events', EVENT_DELAY)
 
-    def answer_with_events(self) -> None:
+    def respond_with_events(self) -> None:
         """Answer the watches that there are events for now."""
         controller = self.controller
         watches, self.waiting = self.waiting, []
@@ -96,7 +96,7 @@
             else:
                 self.waiting.append(watch)
 
-    def answer_overdue(self) -> None:
+    def respond_to_overdue(self) -> None:
         """Answer the watches whose time is over, with whatever there is."""
         now = self.controller.now
         overdue = [watch for watch in self.waiting if watch.until <= now]
--- a/zinctrail/directory/daemon.py
+++ b/zinctrail/directory/daemon.py
@@ -60,11 +60,11 @@
 
     def on_hung_up(self, call_id: http_api.CallId) -> None:
         """The caller of an HTTP call went away."""
-        self.http_api.hung_up(call_id)
+        self.http_api.client_disconnected(call_id)
 
-    def take_heartbeat(self, body: dict, answer: replies.Callback) -> None:
+    def take_heartbeat(self, body: dict, respond: replies.Callback) -> None:
         """An endpoint's heartbeat came to this node, which keeps no registry."""
-        self.request_operation('beat', body, answer)
+        self.request_operation('beat', body, respond)
 
     # -- ownership of credit ledgers --------------------------------------
 
