--- a/zinctrail/control/__init__.py
+++ b/zinctrail/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: configuration, endpoints, routing table, coordination and the HTTP interface to them."""
+"""The control plane: configuration, endpoint registry, routing table, coordination and their HTTP API."""
--- a/zinctrail/control/arguments.py
+++ b/zinctrail/control/arguments.py
@@ -1,17 +1,17 @@
-"""Checks of the arguments of operations; a wrong one is refused with status 400 and the argument's name."""
+"""Validation of the arguments of operations; an invalid one is refused with status 400, naming the argument."""
 
 import zinctrail.errors as errors
 import zinctrail.runtime.parsing as parsing
 
-# Integers up to here are exact in every JSON reader.
+# JSON parsers that store numbers as doubles represent integers up to this value exactly.
 MAX_EXACT_INTEGER = 1 << 53
 MAX_TEXT_LENGTH = 200
-# An epoch lasts seconds, so a counter of eleven digits never ends.
+# An epoch lasts seconds, so the epoch number never exceeds eleven digits.
 MAX_EPOCH_DIGITS = 11
 
 
 def text(args: dict, key: str, max_length: int = MAX_TEXT_LENGTH) -> str:
-    """A required name or id; names with a leading slash are reserved for rows of our own."""
+    """Return a required name or id; names with a leading slash are reserved for internal rows."""
     value = args.get(key)
     if not isinstance(value, str) or not value or len(value) > max_length:
         raise errors.BadRequestError(f'{key} must be a text of 1 to {max_length}')
@@ -21,7 +21,7 @@
 
 
 def whole_number(args: dict, key: str, low: int, high: int, default: int | None = None) -> int:
-    """An integer from `low` to `high`; required unless there is a default."""
+    """Return an integer argument from `low` to `high`; it is required unless there is a default."""
     value = args.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
         raise errors.BadRequestError(f'{key} must be a whole number from {low} to {high}')
@@ -29,5 +29,5 @@
 
 
 def epoch_number(digits: str) -> int | None:
-    """The epoch that the first part of an id names; None if it names none."""
+    """Parse the epoch number in the first part of an id; None if it is not one."""
     return int(digits) if parsing.is_whole(digits) and len(digits) <= MAX_EPOCH_DIGITS else None
--- a/zinctrail/control/claims.py
+++ b/zinctrail/control/claims.py
@@ -1,4 +1,4 @@
-"""Claims: which proxy may run a request id, decided once for all proxies.
+"""Claims: grant one proxy the right to execute a request id, so that it is executed at most once.
 
 The rows: rows.ClaimRow, in table `claims`. docs/notes/at-most-once.md
 """
@@ -17,11 +17,12 @@
 
 
 def claim(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `claim` {id, nonce, proxy, at, attempt}: `got` says what became of it.
+    """Carry out operation `claim` {id, nonce, proxy, at, attempt}; `got` in the result is its outcome.
 
-    'claimed': the caller may run the request; 'taken': another claim holds, its
-    row follows; 'closed': this very claim was closed before; 'old': the id's epoch
-    is past its retention, so that nobody can say any more that it never ran.
+    'claimed': the caller may execute the request; 'taken': another claim is in
+    force, and the result describes it; 'closed': this same claim was closed before;
+    'old': the retention of the id's epoch has ended, so it can no longer be ruled
+    out that the request was executed before.
     """
     request_id, nonce, proxy, address = (arguments.text(args, key) for key in ('id', 'nonce', 'proxy', 'at'))
     attempt = arguments.whole_number(args, 'attempt', 1, MAX_ATTEMPTS)
@@ -44,7 +45,7 @@
 
 
 def close(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `close` {id, nonce}: the claim's owner did not run the request and never will under this claim."""
+    """Close a claim (operation `close` {id, nonce}): its owner has not executed the request and never will under it."""
     request_id, nonce = arguments.text(args, 'id'), arguments.text(args, 'nonce')
     row: rows.ClaimRow | None = txn.get(TABLE, request_id)
     if row is None or row['n'] != nonce:
@@ -54,16 +55,16 @@
 
 
 def epoch_of(request_id: str) -> int | None:
-    """The epoch that a request id begins with; None for an id that claims don't know."""
+    """Return the epoch that a request id begins with; None if the id is not of the form EPOCH.UNIQUE."""
     digits, dot, rest = request_id.partition('.')
     return arguments.epoch_number(digits) if dot and rest else None
 
 
 class ClaimService(controller_part.ControllerPart):
-    """Operations `claim` and `close`, with a log line for sampled requests."""
+    """Serves operations `claim` and `close`, and logs the claims of sampled requests."""
 
     def serve_claim(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `claim`."""
+        """Serve operation `claim`."""
         controller = self.controller
         request_id = args.get('id')
         if isinstance(request_id, str) and controller.request_sampler.is_sampled(request_id):
@@ -74,7 +75,7 @@
         def log_and_respond(result: replies.Result) -> None:
             outcome = result.get('got') or result['status']
             self.controller.log(
-                f'Claim of {request_id:.200}: {outcome}.',
+                f'Claim for request {request_id:.200}: {outcome}.',
                 'claim',
                 id=request_id,
                 outcome=outcome,
@@ -85,5 +86,5 @@
         return log_and_respond
 
     def serve_close(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `close`."""
+        """Serve operation `close`."""
         self.controller.submit(lambda txn: close(txn, args), callback, for_caller=True)
--- a/zinctrail/control/cluster_status.py
+++ b/zinctrail/control/cluster_status.py
@@ -1,4 +1,4 @@
-"""The status of the cluster, as its leader knows it (`zinctrailctl status`)."""
+"""The status of the cluster as its leader sees it (`zinctrailctl status`)."""
 
 import typing
 
@@ -11,21 +11,21 @@
 
 
 class Margins(typing.TypedDict):
-    """How near bounds are: a member without a lease stops, and a claim is dropped after `epochs_kept`."""
+    """The distance to limits: a member whose lease expires stops serving; claims are dropped after `epochs_kept`."""
 
-    # For how long the newest routes have not been applied by every member.
+    # How long the newest routes have not been applied by every member.
     unapplied_ms: int
-    # The least that is left of a member's lease.
+    # The shortest remaining lease of any member.
     least_lease_ms: int
     # The age of the oldest claim, in epochs.
     oldest_claim_epochs: int
 
 
 class ClusterStatus(controller_part.ControllerPart):
-    """Operation `status`."""
+    """Serves operation `status`."""
 
     def serve_status(self, args: dict, callback: replies.Callback) -> None:
-        """Answer the cluster's status, once a quorum has confirmed that this node still leads."""
+        """Return the cluster's status once a quorum has confirmed that this node is still the leader."""
         controller = self.controller
         state = controller.status()
         replica = controller.replica
--- a/zinctrail/control/configuration.py
+++ b/zinctrail/control/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: one document, checked, and replaced as a whole on the version it was based on.
+"""The operators' configuration: one document, validated and replaced as a whole by compare-and-set on its version.
 
 {"pools":  {NAME: {"service": S, "selector": {LABEL: VALUE or [VALUES]}, "policy": LUA}},
  "rules":  {NAME: {"match": {LABEL: VALUE or [VALUES]}, "pool": POOL, "order": N,
@@ -22,18 +22,18 @@
 # The parts of a document. `cells` are zones; the name is part of the interface.
 ZONES = 'cells'
 PARTS = ('pools', 'rules', ZONES, 'labels')
-# Endpoints report these labels about themselves; an operator can not override them.
+# Endpoints report these labels about themselves; operators cannot override them.
 ENDPOINT_LABELS = ('service', 'cell', 'region')
 MAX_ORDER = 1000000
 MAX_DEADLINE_MS = 600000
 MAX_ATTEMPTS = 5
 
-# {label: the value that it must have, or a list of which it must have one}
+# {label: the required value, or a list of the allowed values}
 Selector = dict[str, str | list[str]]
 
 
 class PoolRow(typing.TypedDict, total=False):
-    """A pool: the endpoints of a service that match a selector."""
+    """A pool of the endpoints of one service that match a selector."""
 
     service: str
     selector: Selector
@@ -44,20 +44,20 @@
 class RetryRow(typing.TypedDict):
     """How a rule's requests are retried."""
 
-    # The most attempts for one request, the first included.
+    # The maximum number of attempts for one request, including the first.
     attempts: int
 
 
 class RuleRow(typing.TypedDict, total=False):
     """A rule: which requests go to which pool, and how."""
 
-    # The labels of requests that it applies to.
+    # The labels of the requests that the rule applies to.
     match: Selector
     pool: str
-    # Rules are tried in this order, lowest first.
+    # The rule's position: rules are tried in ascending order.
     order: int
     deadline_ms: int
-    # Whether a request may run at most once.
+    # Whether a request may be executed at most once.
     run_once: bool
     repeat: RetryRow
 
@@ -67,12 +67,12 @@
 
     region: str
     labels: dict[str, str]
-    # Whether traffic of the configuration's services is kept out of the zone.
+    # Whether the document's traffic is kept out of the zone.
     evacuated: bool
 
 
 class Document(typing.TypedDict, total=False):
-    """A whole configuration."""
+    """A complete configuration."""
 
     pools: dict[str, PoolRow]
     rules: dict[str, RuleRow]
@@ -82,7 +82,7 @@
 
 
 def check(document: typing.Any) -> list[document_checks.FieldError]:
-    """All faults of a document; any JSON value may be given."""
+    """Return all errors of a document; any JSON value may be given."""
     checks = document_checks.DocumentChecks()
     if not checks.fields('$', document, PARTS):
         return checks.field_errors
@@ -98,7 +98,7 @@
 
 
 def require_valid(document: typing.Any) -> None:
-    """Refuse a document that has faults, with all of them."""
+    """Refuse an invalid document, listing all of its errors."""
     field_errors = check(document)
     if field_errors:
         raise document_checks.validation_error('invalid configuration', field_errors)
@@ -165,7 +165,7 @@
 
 
 def to_rows(document: Document) -> dict[tuple[str, str], dict]:
-    """The rows of the replicated state that a document stands for, as {(table, key): row}."""
+    """Convert a document to rows of the replicated state, as {(table, key): row}."""
     parts = typing.cast('dict[str, dict[str, dict]]', document)
     rows = {}
     for part in PARTS:
@@ -178,7 +178,7 @@
 
 
 def from_rows(configuration_rows: dict[str, dict], zones: dict[str, ZoneRow]) -> Document:
-    """The document that the rows of the two tables stand for."""
+    """Convert the rows of the two tables to a document."""
     parts: dict[str, dict[str, typing.Any]] = {part: {} for part in PARTS}
     for key, row in configuration_rows.items():
         part, name = key.split('/', 1)
@@ -188,10 +188,10 @@
 
 
 def apply(txn: transactions.Transaction, document: typing.Any, base: int) -> replies.Result:
-    """Within a transaction, replace the configuration by a document: all of it or nothing.
+    """Replace the configuration by a document within a transaction, all or nothing.
 
-    `base` is the version of the configuration that the operator's change was
-    based on; 409 if that is not the present one.
+    `base` is the version of the configuration that the operator's change is
+    based on; 409 if it is not the current version.
     """
     require_valid(document)
     present = txn.get('meta', 'conf') or 0
@@ -209,7 +209,7 @@
 
 
 def matches(selector: Selector, labels: dict[str, str]) -> bool:
-    """Whether labels have the values that a selector asks for."""
+    """True if labels match a selector."""
     return all(
         labels.get(label) in (wanted if isinstance(wanted, list) else [wanted]) for label, wanted in selector.items()
     )
--- a/zinctrail/control/configuration_changes.py
+++ b/zinctrail/control/configuration_changes.py
@@ -1,6 +1,6 @@
-"""Operations on the configuration: the operators' document and the items of open traffic.
+"""Operations on the configuration: the operators' document and the items for open traffic.
 
-A change of the document may wait until it is in force at every member.
+A caller that changes the document may wait until every member has applied the change.
 """
 
 import dataclasses
@@ -18,13 +18,13 @@
 import zinctrail.errors as errors
 import zinctrail.runtime.durations as durations
 
-# How often it is looked at whether a change is in force everywhere.
+# How often pending changes are checked for having been applied by every member.
 IN_FORCE_POLL = durations.ms(50)
 
 
 @dataclasses.dataclass
 class PendingChange:
-    """A committed change whose caller waits until it is in force at every member."""
+    """A committed change whose caller waits until every member has applied it."""
 
     version: tuple[int, int]
     committed_at: datetime.timedelta
@@ -33,7 +33,7 @@
 
 
 class ConfigurationChanges(controller_part.ControllerPart):
-    """The operations, and the changes that wait while this node leads."""
+    """Serves the operations, and tracks pending changes while this node is the leader."""
 
     def __init__(self, controller: controller_part.ControlNode):
         super().__init__(controller)
@@ -42,7 +42,7 @@
     # -- the operators' document ------------------------------------------
 
     def serve_apply(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `config.apply`: replace the document; with `wait`, answered once it is in force everywhere."""
+        """Serve operation `config.apply`: replace the document; with `wait`, respond once all members applied it."""
         document, base, waits = args.get('config'), args.get('base'), args.get('wait', False)
         if isinstance(base, bool) or not isinstance(base, int):
             raise errors.BadRequestError('base must be the generation that the change was based on')
@@ -59,7 +59,8 @@
             else:
                 callback(result)
 
-        # Once for its id: the result of an accepted change may get lost, and others may change things before a retry.
+        # Carried out once per id: the response to an accepted change may be lost, and others may change the
+        # configuration before the retry.
         controller.submit(
             lambda txn: coordination.run_once(controller, txn, 'config.apply', args, apply),
             committed,
@@ -67,12 +68,12 @@
         )
 
     def respond_in_force(self) -> None:
-        """Answer the callers whose changes are in force at every member."""
+        """Respond to the callers whose changes every member has applied."""
         controller = self.controller
         pending = []
         for change in self.pending:
             behind = self._members_behind(change.version)
-            # A member that has not applied it by the end of its lease acts on nothing.
+            # A member that has not applied the change within the lease has lost its lease and stopped serving.
             if not behind or controller.now - change.committed_at > controller.settings.lease:
                 change.callback(dict(change.result, in_force=True, lapsed=behind))
             else:
@@ -82,7 +83,7 @@
             controller.set_timer('changes_in_force', IN_FORCE_POLL)
 
     def _members_behind(self, version: tuple[int, int]) -> list[str]:
-        """The members that act on routes and have not applied a version."""
+        """Return the members that act on routes and have not yet applied a version."""
         return [
             node
             for node, peer in self.controller.peers.items()
@@ -90,13 +91,13 @@
         ]
 
     def abandon(self) -> None:
-        """This node leads no more: nobody can tell the callers whether their changes are in force."""
+        """Respond to all waiting callers when leadership is lost: it is unknown whether their changes are applied."""
         pending, self.pending = self.pending, []
         for change in pending:
             change.callback(results.LOST)
 
     def serve_get(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `config.get`: the document, and the generation that a change has to be based on."""
+        """Serve operation `config.get`: return the document and the generation that a change must be based on."""
 
         def read(view: transactions.Transaction) -> replies.Result:
             return replies.ok(
@@ -107,20 +108,20 @@
         self.controller.read(read, callback)
 
     def serve_check(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `config.check`: whether a document is valid."""
+        """Serve operation `config.check`: validate a document."""
         configuration.require_valid(args.get('config'))
         callback(replies.ok())
 
-    # -- the items of open traffic ----------------------------------------
+    # -- items for open traffic -------------------------------------------
 
     def serve_items(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `items.apply`: set and drop items."""
+        """Serve operation `items.apply`: set and drop items."""
         self.controller.submit(
             lambda txn: configuration_items.apply(txn, args.get('change')), callback, for_caller=True
         )
 
     def serve_items_get(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `items.get`: all items."""
+        """Serve operation `items.get`: return all items."""
         self.controller.read(
             lambda view: replies.ok(items=configuration_items.read(view), generation=view.generation), callback
         )
--- a/zinctrail/control/configuration_items.py
+++ b/zinctrail/control/configuration_items.py
@@ -1,4 +1,4 @@
-"""The configuration of open traffic: items, each with a name and a version of its own.
+"""The configuration for open traffic: items, each with its own name and version.
 
   {"set":  {"rules": [RULE, ...], "pools": [POOL, ...], "limits": LIMITS},
    "drop": {"rules": [{"name": N, "version": V}, ...], "pools": [...]}}
@@ -9,11 +9,11 @@
   LIMITS  version, header_bytes, body_bytes, header_ms, idle_ms
 
 For each name the highest version is in force, whether it sets or drops the
-item; a lower or an equal one changes nothing. A dropped item leaves a tombstone
-with its version, so that a delayed older change can't bring it back. A version
-belongs to the content that was acknowledged under it: other content under that
-version is refused (409), the same content is acknowledged again. Fields that
-are unknown here are stored as they came and returned on reads.
+item; a lower or equal version changes nothing. A dropped item leaves a tombstone
+with its version, so that a delayed older change cannot restore it. A version
+belongs to the content that was acknowledged under it: different content under
+that version is refused (409), the same content is acknowledged again. Unknown
+fields are stored unchanged and returned on reads.
 """
 
 import typing
@@ -26,71 +26,71 @@
 
 TABLE = 'items'
 LISTS = ('rules', 'pools')
-# The one item without a name; its key is this word.
+# The key of the only item without a name.
 LIMITS = 'limits'
 LIMIT_FIELDS = ('header_bytes', 'body_bytes', 'header_ms', 'idle_ms')
-# A latency target this far beyond the time-out is a slip of the operator's.
+# A latency target this far above the timeout is treated as an operator error.
 MAX_TARGET_OVER_TIMEOUT_MS = 60000
 MAX_VERSION = 1 << 53
-# A day.
+# One day.
 MAX_MS = 86400000
 MAX_ATTEMPTS = 100
 MAX_PRIORITY = 1000000
 MAX_WEIGHT = 1e9
 MAX_CONNECTIONS = 1000000
 MAX_SLOW_START = 1e6
-# How many items a refusal names.
+# The maximum number of errors or conflicting items that a refusal lists.
 MAX_ERRORS_REPORTED = 100
 
 
 class ShareRow(typing.TypedDict):
-    """One of the pools among which a rule divides its requests."""
+    """One of the pools in a rule's weighted split."""
 
     pool: str
-    # In proportion to the sum of the rule's weights.
+    # The pool's share of requests is its weight divided by the sum of the rule's weights.
     weight: float
 
 
 class RuleItem(typing.TypedDict, total=False):
-    """A rule of open traffic: which requests go to which pools, and how."""
+    """A rule for open traffic: which requests go to which pools, and how."""
 
     name: str
     version: int
-    # The request's Host, and the beginning of its path.
+    # The request's Host header, and a prefix of its path.
     host: str
     prefix: str
-    # Whether a request may run at most once.
+    # Whether a request may be executed at most once.
     once: bool
     timeout_ms: int
     # The latency target.
     aim_ms: int
-    # The priority under load; lower is shed first.
+    # The priority under overload; requests of lower priority are shed first.
     rank: int
-    # The most attempts for one request, the first included.
+    # The maximum number of attempts for one request, including the first.
     attempts: int
-    # The regions in which requests may run; empty: any.
+    # The regions in which requests may be executed; empty: any.
     home: list[str]
-    # Either one pool, or several with weights.
+    # Either one pool, or a weighted split over several.
     pool: str
     shares: list[ShareRow]
 
 
 class PoolItem(typing.TypedDict, total=False):
-    """A pool of endpoints of open traffic."""
+    """A pool of endpoints for open traffic."""
 
     name: str
     version: int
     # The path of health checks.
     health: str
-    # The most connections to one endpoint.
+    # The maximum number of connections to one endpoint.
     connections: int
-    # Slow start: for how many seconds an endpoint warms up, and how many requests a second it gets meanwhile.
+    # Slow start: how many seconds an endpoint warms up, and how many requests per second it gets in that time.
     cold_s: float
     cold_per_s: float
 
 
 class LimitsItem(typing.TypedDict, total=False):
-    """What a client of open traffic may send, and how long it may take or stay idle."""
+    """Limits on the size of open-traffic requests, and timeouts for their headers and for idle connections."""
 
     version: int
     header_bytes: int
@@ -103,16 +103,16 @@
 
 
 class ItemRow(typing.TypedDict):
-    """A row of table `items`, by PART/NAME or `limits`."""
+    """A row of table `items`, keyed by PART/NAME or `limits`."""
 
     # The version in force.
     v: int
-    # The item as it was sent; None is the tombstone of a dropped item.
+    # The item as it was received; None is the tombstone of a dropped item.
     row: Item | None
 
 
 class ConflictRow(typing.TypedDict):
-    """An item of a refused change, as the refusal names it: its version belongs to another content."""
+    """An item that a refusal lists because its version belongs to different content."""
 
     # 'rules', 'pools' or 'limits'.
     part: str
@@ -123,7 +123,7 @@
 
 
 class ItemChange(typing.NamedTuple):
-    """What a change asks for one item."""
+    """The change to one item."""
 
     key: str
     version: int
@@ -132,7 +132,7 @@
 
 
 def check(document: typing.Any, references: 'References | None' = None) -> list[document_checks.FieldError]:
-    """All faults of a change; any JSON value may be given. Without `references`, rules may name any pool."""
+    """Return all errors of a change; any JSON value may be given. Without `references`, rules may name any pool."""
     checks = document_checks.DocumentChecks()
     if not checks.fields('$', document, ('set', 'drop')):
         return checks.field_errors
@@ -157,7 +157,7 @@
 
 
 def _check_limits(checks: document_checks.DocumentChecks, path: str, row: typing.Any) -> None:
-    # Unknown fields are stored as they came, so every field that is there is taken as known.
+    # Unknown fields are stored unchanged, so every field that is present counts as known.
     if not checks.fields(path, row, row or (), ('version',)):
         return
     checks.whole_number(f'{path}.version', row.get('version'), 0, MAX_VERSION)
@@ -193,7 +193,7 @@
     checks.whole_number(f'{path}.timeout_ms', row.get('timeout_ms'), 1, MAX_MS)
     if 'aim_ms' in row:
         checks.whole_number(f'{path}.aim_ms', row['aim_ms'], 1, MAX_MS)
-        # The two can be compared only once both are known to be numbers.
+        # The two can be compared only if both are known to be numbers.
         if not checks.field_errors and row['aim_ms'] >= row['timeout_ms'] + MAX_TARGET_OVER_TIMEOUT_MS:
             checks.add(f'{path}.aim_ms', f'is a minute or more above timeout_ms, {row["timeout_ms"]}')
 
@@ -231,7 +231,7 @@
 
 
 def to_changes(document: dict) -> list[ItemChange]:
-    """What a change that was checked asks for, item by item."""
+    """Convert a validated change to one ItemChange per item."""
     sets, drops = document.get('set', {}), document.get('drop', {})
     changes = [ItemChange(f'{part}/{row["name"]}', row['version'], row) for part in LISTS for row in sets.get(part, ())]
     changes += [
@@ -243,17 +243,17 @@
 
 
 class References:
-    """Which pools the rules of a change may name.
+    """Decides which pools the rules of a change may name.
 
     A rule that comes into force must name a pool that exists once the change is
-    in force. A rule that changes nothing may have been accepted before, when its
-    pool existed: it may name any pool that ever did, so that a change that was
-    accepted is acknowledged again whatever was dropped since.
+    in force. A rule that changes nothing may have been accepted earlier, when its
+    pool existed: it may name any pool that ever existed, so that a retry of an
+    accepted change is acknowledged even if its pools were dropped since.
     """
 
     def __init__(self, txn: transactions.Transaction, document: typing.Any):
         self.txn = txn
-        # What the change itself does to pools: {name: (highest version, whether that version sets the pool)}.
+        # The pools that the change itself sets or drops: {name: (highest version, whether that version sets the pool)}.
         self.changed_pools: dict[str, tuple[int, bool]] = {}
         for part, is_set in (('set', True), ('drop', False)):
             for row in _rows(document, part, 'pools'):
@@ -266,7 +266,7 @@
             self.changed_pools[name] = (version, is_set)
 
     def allows(self, rule: dict, pool: str) -> bool:
-        """Whether a rule of the change may name a pool."""
+        """True if a rule of the change may name a pool."""
         if self._comes_into_force(rule):
             return self._will_exist(pool)
         return pool in self.changed_pools or self.txn.get(TABLE, f'pools/{pool}') is not None
@@ -287,7 +287,7 @@
 
 
 def _rows(document: typing.Any, part: str, kind: str) -> list[dict]:
-    """The objects of one list of a change that may be malformed."""
+    """Return the objects in one list of a change that may be malformed."""
     lists = document.get(part) if isinstance(document, dict) else None
     rows = lists.get(kind) if isinstance(lists, dict) else None
     return [row for row in rows if isinstance(row, dict)] if isinstance(rows, list) else []
@@ -298,9 +298,9 @@
 
 
 def apply(txn: transactions.Transaction, document: typing.Any) -> replies.Result:
-    """Within a transaction, apply a change: all of it or nothing. `took` counts the items that it changed.
+    """Apply a change within a transaction, all or nothing; `took` in the result counts the items that it changed.
 
-    400 with all faults if it is malformed; 409 if a version in it belongs to other content.
+    400 with all errors if it is malformed; 409 if one of its versions belongs to different content.
     """
     field_errors = check(document, References(txn, document))
     if field_errors:
@@ -325,13 +325,13 @@
 
 
 def _may_acknowledge(txn: transactions.Transaction, change: ItemChange, present: ItemRow) -> bool:
-    """Whether an item that changes nothing may be acknowledged: its version does not belong to other content."""
+    """True if an item that changes nothing may be acknowledged: its version does not belong to different content."""
     if change.version == present['v']:
         return version_contents.is_same(change.row, present['row'])
     content = version_contents.digest(change.row)
     known = version_contents.remembered(txn, change.key, change.version)
     if known is None and version_contents.is_complete(txn):
-        # Nothing was ever acknowledged under this version: from now on it belongs to this content.
+        # No content was ever acknowledged under this version: from now on it belongs to this content.
         version_contents.remember(txn, change.key, change.version, content)
     return known in (None, content)
 
@@ -342,7 +342,7 @@
 
 
 def _version_conflict_error(conflicts: list[ConflictRow]) -> errors.ConflictError:
-    """The refusal of a change that gives acknowledged versions other contents; a retry is refused as well."""
+    """Return the refusal of a change with different content for acknowledged versions; a retry would fail too."""
     conflicts_reported = conflicts[:MAX_ERRORS_REPORTED]
     described = [
         {
@@ -360,7 +360,7 @@
 
 
 def read(txn: transactions.Transaction) -> dict[str, typing.Any]:
-    """All items in force, laid out as the `set` of a change."""
+    """Return all items in force, in the format of the `set` of a change."""
     items: dict[str, typing.Any] = {part: [] for part in LISTS}
     for key, item in sorted(txn.items(TABLE).items()):
         if item['row'] is None:
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -1,9 +1,9 @@
-"""The control node: a voter that, while it leads, decides for the whole control plane.
+"""The control node: a voter that, while it is the leader, makes all decisions of the control plane.
 
-Each concern is a part, in a module of its own, with the fields that it needs; what
-parts need of the node is typed in controller_part.py. What belongs to one
-leadership is started and ended below, and frames and timers, which are handled by
-name, are passed on to the parts.
+Each concern is a part in its own module, with its own fields; controller_part.py
+types the interface of the node that parts use. This class starts and stops the
+work that belongs to one leadership, and delegates frames and timers, whose
+handlers are looked up by name, to the parts.
 """
 
 import uuid
@@ -38,7 +38,7 @@
     leader_operations.LeaderOperations,
     voter.Voter,
 ):
-    """A control node; `files` is what its data folder holds."""
+    """A control node; `files` is the content of its data folder."""
 
     def __init__(self, location, bounds, rng, files=None):
         super().__init__(location, bounds, rng, files)
@@ -55,30 +55,30 @@
         self.cluster_status = cluster_status.ClusterStatus(self)
         self.proxy_lookup = proxy_lookup.ProxyLookup(self)
         self.watches = watches.Watches(self)
-        # When locks end, by the leader's clock.
+        # Expiry of locks by the leader's clock.
         self.lock_expiry = lock_expiry.LockExpiry(self)
 
     def pages(self):
-        """The pages of proxy lookup, where the deployment has this node serve it."""
+        """Return the pages of proxy lookup if the deployment has this node serve it."""
         return proxy_lookup.PAGES if self.location.directory else {}
 
     def ready(self):
-        """Not ready once operators gave up the cluster of this node."""
+        """Return (is ready, reason); not ready once operators replaced the cluster of this node by a new one."""
         if self.cluster_replacement.replaced_by:
             return False, 'its cluster was given up'
         return self.http_api.readiness()
 
     def measures(self):
-        """Rows of runtime/metrics.py."""
+        """Yield this node's metrics, as rows of runtime/metrics.py."""
         yield from super().measures()
         yield from self.proxy_lookup.metrics.rows()
 
     # -- leases -----------------------------------------------------------
 
     def leased(self):
-        """Whether this node may act on its state; a leader by what a quorum answered to its heartbeats."""
+        """True if this node may act on its state; a leader's lease rests on a quorum's responses to its heartbeats."""
         if self.is_leader:
-            # A leader's lease is as long as the others', which go on acting on what it sent them for that long.
+            # A leader's lease is as long as its followers', which act on what it sent them for that long.
             return (
                 self.replica.committed[0] == self.term
                 and self.now < self.leadership.heartbeats.quorum_at + self.settings.lease
@@ -86,7 +86,7 @@
         return super().leased()
 
     def lease_left(self):
-        """How long it may go on doing so."""
+        """Return the remaining time of this node's lease."""
         if self.is_leader:
             return (
                 self.leadership.heartbeats.quorum_at + self.settings.lease - self.now
@@ -98,7 +98,7 @@
     # -- leadership -------------------------------------------------------
 
     def leadership_confirmed(self):
-        """A version of its own term is committed: begin what belongs to this leadership."""
+        """Start the work of a leader once a version of its own term is committed."""
         self.endpoint_registry.start()
         self.health_checks.start()
         self.outlier_ejection.start()
@@ -108,13 +108,13 @@
         super().leadership_confirmed()
 
     def leadership_lost(self):
-        """End what belonged to this leadership, and answer the callers that it kept waiting."""
+        """Stop the work of a leader, and respond to the callers that wait for it."""
         self.lock_expiry.stop()
         self.configuration_changes.abandon()
         self.watches.abandon()
 
     def tick_leader(self):
-        """The work that a leader does with each heartbeat round."""
+        """Do the work that a leader does in each heartbeat round."""
         if self.replica.committed[0] != self.term:
             return
         self.epochs.advance()
@@ -126,7 +126,7 @@
         self.reconfigure()
 
     def applied(self, rows):
-        """A new version of the state is in force; `rows` are its changes, None for a whole state."""
+        """Handle a new version of the state in force; `rows` are its changes, None for a complete state."""
         self.routes.invalidate()
         if not self.is_leader:
             return
@@ -135,74 +135,74 @@
         self.watches.schedule_responses(rows)
 
     def timer_changes_in_force(self):
-        """Look again whether changes are in force at every member."""
+        """Check again whether every member has applied the pending changes."""
         self.configuration_changes.respond_in_force()
 
     def timer_events(self):
-        """Events came into force a moment ago."""
+        """Respond to watches; the timer is set when events come into force."""
         self.watches.respond_with_events()
 
-    # -- what is passed on to the parts -----------------------------------
+    # -- delegated to the parts -------------------------------------------
 
     def on_http(self, call_id: http_api.CallId, call: effects.HttpRequest):
-        """An HTTP call came in."""
+        """Handle an incoming HTTP call."""
         self.http_api.serve(call_id, call)
 
     def on_hung_up(self, call_id: http_api.CallId):
-        """The caller of an HTTP call went away."""
+        """Handle the disconnection of the caller of an HTTP call."""
         self.http_api.client_disconnected(call_id)
 
     def take_heartbeat(self, body: dict, respond: replies.Callback):
-        """An endpoint's heartbeat came to this node."""
+        """Handle an endpoint's heartbeat that was sent to this node."""
         self.endpoint_registry.take_heartbeat(body, respond)
 
     def heartbeat_details(self):
-        """Tell the leader, with a response to its heartbeat, which endpoints were heard of here."""
+        """Return what this node adds to its heartbeat response: the endpoints whose heartbeats it received."""
         received = self.endpoint_registry.pop_unreported()
         return {'endpoint_heartbeats': received} if received else {}
 
     def on_heartbeat_response(self, message: messages.HeartbeatResponse):
-        """A member answers a heartbeat, and says which endpoints it heard of."""
+        """Handle a member's heartbeat response, which lists the endpoints whose heartbeats it received."""
         self.endpoint_registry.on_heartbeat_response(message)
         super().on_heartbeat_response(message)
 
     def on_endpoint_suspected(self, message: traffic_messages.EndpointSuspected):
-        """A proxy could not connect to an endpoint."""
+        """Handle a proxy's report that it could not connect to an endpoint."""
         self.health_checks.on_suspected(message)
 
     def on_endpoint_probe(self, message: traffic_messages.EndpointProbe):
-        """The leader has this node check an endpoint."""
+        """Handle the leader's request to check an endpoint."""
         self.health_checks.on_probe(message)
 
     def on_endpoint_probe_response(self, message: traffic_messages.EndpointProbeResponse):
-        """A control node has the result of a health check."""
+        """Handle the result of a health check that another control node made."""
         self.health_checks.on_probe_response(message)
 
     def on_fetched(self, fetch_id: int, response: effects.HttpResult):
-        """The host has made the HTTP call of a health check."""
+        """Handle the response to the HTTP call of a health check."""
         self.health_checks.on_fetched(fetch_id, response)
 
     def on_endpoint_failures(self, message: traffic_messages.EndpointFailures):
-        """A proxy reports endpoints whose requests failed there."""
+        """Handle a proxy's report of endpoints at which requests failed."""
         self.outlier_ejection.on_endpoint_failures(message)
 
     def on_draining(self, message: messages.Draining):
-        """A member shuts down soon."""
+        """Handle a member's notice that it is about to shut down."""
         self.singleton_roles.on_draining(message)
 
     def member_gone(self, transaction: transactions.Transaction, node: str):
-        """A member was dropped: its singleton roles go to others in the same transaction."""
+        """Reassign the singleton roles of a removed member in the same transaction."""
         self.singleton_roles.place(transaction)
 
     # -- recovery ---------------------------------------------------------
 
     def take_recovery(self, body):
-        """Begin a new cluster out of replicas of a lost one, as an operator ordered (recovery.py)."""
+        """Start a new cluster from replicas of a lost one, at an operator's command (recovery.py)."""
         if not self.is_empty() or self.disk_failed or self.stopping:
             raise errors.ConflictError('is no empty control node')
         cluster = uuid.UUID(int=self.rng.getrandbits(128), version=4).hex
         start = recovery.initial_state(body, cluster, self.node, self.member())
-        self.log(f'Recovers cluster {body["cluster"]} as {cluster}, from generation {body["generation"]}.')
+        self.log(f'Recovering cluster {body["cluster"]} as new cluster {cluster} from generation {body["generation"]}.')
         self.cluster_replacement.begin(
             cluster,
             body['term'] + recovery.TERMS_SKIPPED,
--- a/zinctrail/control/controller_part.py
+++ b/zinctrail/control/controller_part.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller have in common: a typed view of the control node that they belong to."""
+"""The base class of the parts of a controller, and the interface of the control node that they use."""
 
 import collections
 import datetime
@@ -23,12 +23,12 @@
     import zinctrail.control.singleton_roles as singleton_roles
     import zinctrail.control.watches as watches
 
-# The sender of a message that was received, for the parts.
+# Returns the sender of a received message.
 sender_of = codec.sender_of
 
 
 class ControlNode(typing.Protocol):
-    """What the parts of a controller, and the operations on the replicated state, need of the control node."""
+    """The interface of the control node that parts and operations on the replicated state use."""
 
     node: str
     term: int
@@ -37,13 +37,13 @@
     now: datetime.timedelta
     settings: settings.Settings
     replica: replica.Replica
-    # The routing table of that state.
+    # The routing table derived from that state.
     routes: routing_table.RoutingTable
     # Counters by name, for metrics.
     counts: collections.Counter[str]
-    # The effects of the present input.
+    # The effects of the input that is being handled.
     out: list
-    # Which requests are logged.
+    # Decides which requests are logged.
     request_sampler: request_sampling.RequestSampler
 
     # -- its parts
@@ -58,46 +58,46 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads, as far as it knows."""
+        """True if this node believes that it is the leader."""
 
     @property
     def peers(self) -> dict[str, peers.Peer]:
-        """The other members, as their leader knows them; empty where this node does not lead."""
+        """Return the other members as the leader tracks them; empty unless this node is the leader."""
 
     def leased(self) -> bool:
-        """Whether this node may act on its state."""
+        """True if this node may act on its state."""
 
     def status(self) -> dict[str, typing.Any]:
-        """What this node knows of itself and, while it leads, of the cluster."""
+        """Return the status of this node and, while it is the leader, of the cluster."""
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
-        """Log a sentence; `event` names the kind of event, `fields` are what one would search for."""
+        """Log a sentence; `event` is the kind of event, `fields` are its searchable values."""
 
     def fence(self, callback: typing.Callable[[bool], None]) -> None:
-        """callback(whether this node certainly led after now)."""
+        """Call callback(True) once this node was confirmed as leader after now, callback(False) if it was not."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message to another process."""
 
     def request_operation(self, operation: str, arguments: dict, callback: replies.Callback) -> None:
-        """Have the leader carry out an operation; callback(result) comes once, whatever happens."""
+        """Have the leader carry out an operation; callback(result) is called exactly once."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it if it is set already; the node has a method `timer_NAME`."""
+        """Set or reset a timer; the node's method `timer_NAME` handles it."""
 
     def read(self, work: transactions.Work, callback: replies.Callback) -> None:
-        """callback(work(view)) of what is in force, once it is certain that this node led after now."""
+        """Call callback(work(view)) on the state in force, once this node was confirmed as leader after now."""
 
     def submit(self, work: transactions.Work, callback: replies.Callback, for_caller: bool = False) -> None:
-        """Have work(transaction) run in the next version; callback(result) once that is in force."""
+        """Run work(transaction) in the next version; callback(result) is called once that version is in force."""
 
 
 def ignore_result(result: replies.Result) -> None:
-    """The callback of work that the leader submits on its own account."""
+    """Ignore the result of work that the leader submits itself, not for a caller."""
 
 
 class ControllerPart:
-    """A part of a controller: owns its own fields, and reaches the node and its other parts by `controller`."""
+    """A part of a controller, with its own fields; `controller` is the node, through which it reaches other parts."""
 
     def __init__(self, controller: ControlNode):
         self.controller = controller
--- a/zinctrail/control/coordination.py
+++ b/zinctrail/control/coordination.py
@@ -1,9 +1,9 @@
-"""Coordination for applications: locks, counters, keys, registers and watches.
+"""Coordination primitives for applications: locks, counters, keys, registers and watches.
 
-`OPERATIONS` is the registry: what an operation is called on the wire and in
-the HTTP interface (`lock.take` is POST /v1/lock/take), and the function that
-carries it out: function(controller, transaction, arguments) -> result. The
-leader runs operations one after the other.
+`OPERATIONS` is the registry: it maps an operation's name on the wire and in the
+HTTP API (`lock.take` is POST /v1/lock/take) to the function that carries it out:
+function(controller, transaction, arguments) -> result. The leader runs
+operations serially.
 """
 
 import json
@@ -21,7 +21,7 @@
 import zinctrail.control.retention as retention
 import zinctrail.errors as errors
 
-# Carries out an operation; raises CallError to refuse it.
+# A function that carries out an operation; it raises CallError to refuse it.
 OperationFunction = typing.Callable[[controller_part.ControlNode, transactions.Transaction, dict], replies.Result]
 
 
@@ -29,7 +29,7 @@
     """An entry of the registry."""
 
     function: OperationFunction
-    # Whether calls carry an id under which the result is remembered, so that a retry does not act twice.
+    # Whether calls carry an id under which the result is stored, so that a retry has no further effect.
     has_id: bool = False
 
 
@@ -42,7 +42,7 @@
     'key.put': Operation(keys.put, has_id=True),
     'key.drop': Operation(keys.remove, has_id=True),
     'key.watch': Operation(keys.watch),
-    # For callers without ids: the owner's name, or a unique value, says what is a retry.
+    # For callers without ids: a retry is recognized by the owner's name or by a unique value.
     'lock.hold': Operation(locks.hold),
     'lock.renew': Operation(locks.renew),
     'lock.yield': Operation(locks.yield_),
@@ -54,21 +54,21 @@
 
 
 class ResultRow(typing.TypedDict):
-    """A row of table `done`, by the call's id: a remembered result."""
+    """A row of table `done`, keyed by the call's id: a stored result."""
 
     # The operation's name.
     op: str
-    # A checksum of the arguments; absent in states of earlier releases.
+    # A checksum of the arguments; absent in states written by earlier releases.
     of: int
     result: replies.Result
-    # The epoch in which it was carried out; the row is dropped some epochs later.
+    # The epoch in which the operation was carried out; the row is dropped `epochs_kept` epochs later.
     epoch: int
 
 
 def run(
     controller: controller_part.ControlNode, txn: transactions.Transaction, name: str, args: dict
 ) -> replies.Result:
-    """Carry out one operation; those with ids once for each id."""
+    """Carry out an operation; one that has ids only once per id."""
     operation = OPERATIONS[name]
     if operation.has_id:
         return run_once(controller, txn, name, args, operation.function)
@@ -82,10 +82,10 @@
     args: dict,
     function: OperationFunction,
 ) -> replies.Result:
-    """Carry out an operation for its id, or return the result that the id had before.
+    """Carry out an operation once per id: return the stored result if the id was used before.
 
-    An id is EPOCH.UNIQUE. The epoch lets a late copy of a call be refused once
-    its result was dropped. 409 if the id was used for other arguments.
+    An id is EPOCH.UNIQUE. By the epoch a delayed copy of a call is refused even after
+    its stored result was dropped. 409 if the id was used with other arguments.
     """
     call_id = arguments.text(args, 'id')
     remembered = txn.get(retention.RESULTS_TABLE, call_id)
--- a/zinctrail/control/counters.py
+++ b/zinctrail/control/counters.py
@@ -1,6 +1,6 @@
-"""Counters for applications: each call returns a number above all that were returned before.
+"""Counters for applications: each call returns a number above all earlier ones.
 
-Table `numbers`: {name: the last number given out}.
+Table `numbers`: {name: the last number returned}.
 """
 
 import zinctrail.consensus.transactions as transactions
@@ -14,12 +14,12 @@
 
 
 def next_number(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`number.next` {name, by, id}: raise a counter by `by` (default 1), once for an id, and return it."""
+    """Increment a counter by `by` (default 1), once per id, and return it: `number.next` {name, by, id}."""
     return _raise(txn, arguments.text(args, 'name'), arguments.whole_number(args, 'by', 1, MAX_INCREMENT, 1))
 
 
 def step(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`number.step` {name}: the next number. It carries no id, so a retry leaves a gap, which is allowed."""
+    """Increment a counter by 1 and return it: `number.step` {name}. Without an id, a retry leaves a gap, as allowed."""
     return _raise(txn, arguments.text(args, 'name'), 1)
 
 
--- a/zinctrail/control/document_checks.py
+++ b/zinctrail/control/document_checks.py
@@ -1,4 +1,4 @@
-"""Checks of JSON documents from outside: all faults are collected, each with its path, instead of the first alone."""
+"""Validation of JSON documents from outside: collects all errors, each with its path, not only the first."""
 
 import re
 import typing
@@ -10,32 +10,32 @@
 
 
 class FieldError(typing.NamedTuple):
-    """What is wrong with a document, and where."""
+    """An error in a document, and its place."""
 
-    # From the root `$`, as `$.rules.checkout.pool`.
+    # The path from the root `$`, such as `$.rules.checkout.pool`.
     path: str
     text: str
 
 
 def validation_error(text: str, field_errors: list[FieldError]) -> errors.BadRequestError:
-    """The refusal of a document, with its faults as rows of the JSON body."""
+    """Return the refusal of an invalid document, with its errors listed in the JSON body."""
     return errors.BadRequestError(text, faults=[{'path': error.path, 'fault': error.text} for error in field_errors])
 
 
 class DocumentChecks:
-    """The checks that documents share. Each adds what it finds to `field_errors`."""
+    """Checks shared by all documents; each adds the errors that it finds to `field_errors`."""
 
     def __init__(self):
         self.field_errors: list[FieldError] = []
 
     def add(self, path: str, text: str) -> None:
-        """Note a fault."""
+        """Record an error."""
         self.field_errors.append(FieldError(path, text))
 
     def fields(
         self, path: str, document: typing.Any, known: typing.Collection[str], required: typing.Iterable[str] = ()
     ) -> bool:
-        """Check that a document is an object with known fields only; whether its fields can be read at all."""
+        """Check that a document is an object with known fields only; True if it is an object at all."""
         if not isinstance(document, dict):
             self.add(path, 'must be an object')
             return False
@@ -48,7 +48,7 @@
         return True
 
     def name(self, path: str, value: typing.Any) -> None:
-        """Check the name of something that the document declares."""
+        """Check the name of an object that the document declares."""
         if not isinstance(value, str) or not NAME.match(value):
             self.add(path, 'must be a name: a letter or digit, then letters, digits and . _ / : -, up to 100')
 
@@ -58,19 +58,19 @@
             self.add(path, f'must be a whole number from {low} to {high}')
 
     def boolean(self, path: str, value: typing.Any) -> None:
-        """Check a truth value."""
+        """Check a boolean."""
         if not isinstance(value, bool):
             self.add(path, 'must be true or false')
 
     def is_amount(self, path: str, value: typing.Any, high: float) -> bool:
-        """Check a number from 0 to `high`, whole or not; whether it is one."""
+        """Check a number from 0 to `high`, integer or float; True if it is valid."""
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value <= high:
             self.add(path, 'must be a number, 0 or more')
             return False
         return True
 
     def objects(self, path: str, rows: typing.Any) -> typing.Iterator[tuple[str, dict]]:
-        """The objects of a list, each with its path; what is no object is a fault."""
+        """Yield the objects in a list, each with its path; any other element is an error."""
         if not isinstance(rows, list):
             self.add(path, 'must be a list')
             return
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -1,7 +1,7 @@
-"""Health checks of endpoints that are silent or suspected, before they are declared gone.
+"""Health checks of endpoints that missed heartbeats or are suspected, before they are removed.
 
-The leader gives each health check to one control node, spread by a hash over
-those that answer, and gives it to another one if there is no result in time.
+The leader assigns each health check to one control node, spread by a hash over
+the reachable ones, and reassigns it to another if there is no result in time.
 """
 
 import collections.abc
@@ -18,65 +18,65 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
 
-# Where an endpoint that links no library of ours is checked, unless its pool names another path.
+# The health check path of an endpoint that does not use our client library, unless its pool sets another path.
 DEFAULT_HEALTH_PATH = '/health'
 LIBRARY_HEALTH_PATH = '/zt/live'
-# A control node counts as answering if its last response is no older than so many heartbeat intervals.
+# A control node counts as reachable if its last response is no older than this many heartbeat intervals.
 FRESH_INTERVALS = 2
-# A health check that has no result after so many times its timeout is given to another node.
+# A health check without a result after this many times its timeout is reassigned to another node.
 RESULT_TIMEOUTS = 2
-# An endpoint is alive if its last heartbeat is no older than so many of its heartbeat intervals.
+# An endpoint is alive if its last heartbeat is no older than this many of its heartbeat intervals.
 ALIVE_INTERVALS = 1.5
 
 
 class HealthCheckResult(typing.NamedTuple):
-    """What a health check found."""
+    """The result of a health check."""
 
     is_healthy: bool
-    # Whether it is certain that the incarnation is not there: nobody listens, or another one answers.
+    # Whether the incarnation certainly does not run there: the connection is refused, or another incarnation responds.
     is_refused: bool
 
 
 @dataclasses.dataclass
 class HealthCheck:
-    """A health check that a leader has given to a control node."""
+    """A health check that the leader has assigned to a control node."""
 
     number: int
     started_at: datetime.timedelta
     checker: str
-    # The control nodes that were given it before and had no result in time.
+    # The control nodes that it was assigned to before and that returned no result in time.
     earlier_checkers: list[str]
 
 
 @dataclasses.dataclass
 class HealthCheckCall:
-    """A health check that this node makes."""
+    """A health check that this node is making."""
 
     incarnation: str
-    # Whether the endpoint links no library of ours.
+    # Whether the endpoint does not use our client library.
     is_plain: bool
     callback: collections.abc.Callable[[HealthCheckResult], None]
 
 
 class EndpointHealthChecks(controller_part.ControllerPart):
-    """Gives out, makes and judges health checks."""
+    """Assigns and makes health checks, and applies their results."""
 
     def __init__(self, controller: controller_part.ControlNode):
         super().__init__(controller)
-        # While this node leads: {incarnation: its health check}.
+        # While this node is the leader: {incarnation: its health check}.
         self.checks: dict[str, HealthCheck] = {}
-        # The health checks that this node makes: {id of the HTTP call: call}.
+        # The health checks that this node is making: {id of the HTTP call: call}.
         self.calls: dict[int, HealthCheckCall] = {}
         self.last_fetch_id = 0
 
     def start(self) -> None:
-        """This node leads now: what it gave out in an earlier term does not count."""
+        """Start as leader: assignments of an earlier term of this node do not count."""
         self.checks = {}
 
     # -- the leader -------------------------------------------------------
 
     def check_silent(self) -> None:
-        """Have every endpoint checked that missed its heartbeats, and retry checks that have no result."""
+        """Start checks of endpoints that missed their heartbeats, and reassign overdue checks."""
         now, settings = self.controller.now, self.controller.settings
         last_seen_at = self.controller.endpoint_registry.last_seen_at
         limit = now - settings.beat * settings.beats_missed
@@ -86,12 +86,12 @@
         timeout = settings.prober * RESULT_TIMEOUTS
         overdue = [i for i, check in self.checks.items() if now - check.started_at > timeout]
         for incarnation in overdue:
-            # The checker itself may be the one that is partitioned.
+            # The endpoint may be fine: the checker itself may be partitioned.
             check = self.checks[incarnation]
             self._assign(incarnation, [*check.earlier_checkers, check.checker])
 
     def start_check(self, incarnation: str) -> None:
-        """Have an endpoint checked, unless that is under way."""
+        """Start a check of an endpoint, unless one is in progress."""
         if incarnation not in self.checks or self.controller.replica.get('endpoints', incarnation) is None:
             self._assign(incarnation, [])
 
@@ -124,16 +124,16 @@
         return min(nodes, key=lambda node: hashlib.blake2b(f'{node}/{incarnation}'.encode()).digest())
 
     def on_suspected(self, message: traffic_messages.EndpointSuspected) -> None:
-        """A proxy could not connect to an endpoint, which is worth a health check at once."""
+        """Check an endpoint at once when a proxy could not connect to it."""
         if self.controller.is_leader:
             self.start_check(message.incarnation)
 
     def on_probe_response(self, message: traffic_messages.EndpointProbeResponse) -> None:
-        """A control node has the result of a health check."""
+        """Apply the result of a health check that another control node made."""
         check = self.checks.get(message.incarnation)
         if check is None or check.checker != controller_part.sender_of(message).node:
             return
-        # The result of an earlier check comes too late; its checker may have been partitioned.
+        # The result of an earlier check is outdated; its checker may have been partitioned.
         if message.number is not None and message.number != check.number:
             return
         if self.controller.is_leader:
@@ -150,10 +150,10 @@
             self._drop_endpoint(incarnation)
 
     def _sends_plain_heartbeats(self, incarnation: str) -> bool:
-        """Whether an endpoint without our library is alive by its heartbeats.
+        """True if an endpoint without our client library still sends heartbeats.
 
-        Health checks wait for a slot there, so that a full endpoint is as silent
-        as one that is gone.
+        A health check needs a free slot at such an endpoint, so that a saturated
+        endpoint responds as little as a dead one.
         """
         controller = self.controller
         row = controller.replica.get('endpoints', incarnation) or {}
@@ -163,7 +163,7 @@
 
     def _drop_endpoint(self, incarnation: str) -> None:
         self.controller.log(
-            f'Endpoint {incarnation} is gone: its health check failed.', 'endpoint-gone', inc=incarnation
+            f'Endpoint {incarnation} is removed: its health check failed.', 'endpoint-gone', inc=incarnation
         )
 
         def drop(txn: transactions.Transaction) -> replies.Result:
@@ -175,7 +175,7 @@
     # -- the control node that makes the check ----------------------------
 
     def on_probe(self, message: traffic_messages.EndpointProbe) -> None:
-        """The leader has this node check an endpoint."""
+        """Make a health check at the leader's request, and send it the result."""
 
         def respond(result: HealthCheckResult) -> None:
             response = traffic_messages.EndpointProbeResponse(
@@ -215,16 +215,17 @@
         )
 
     def on_fetched(self, fetch_id: int, response: effects.HttpResult) -> None:
-        """The host has made the HTTP call of a health check."""
+        """Handle the response to the HTTP call of a health check."""
         call = self.calls.pop(fetch_id)
         call.callback(_result_of(call, response))
 
 
 def _result_of(call: HealthCheckCall, response: effects.HttpResult) -> HealthCheckResult:
-    # A newcomer on the address answers as well, but it is not the incarnation that is checked.
+    # A new incarnation on the same address responds too, but it is not the one being checked.
     responding_incarnation = response.headers.get('zt-inc')
     if call.is_plain and not response.fault:
-        # Whoever answers is there; what it says of its health may be false, and outlier detection judges that.
+        # Any response shows that the endpoint is alive. The health that it reports may be wrong; outlier detection covers
+        # that.
         is_expected = responding_incarnation in (call.incarnation, None, '')
         return HealthCheckResult(is_expected, not is_expected)
     is_healthy = response.status == 200 and responding_incarnation == call.incarnation
--- a/zinctrail/control/endpoint_registry.py
+++ b/zinctrail/control/endpoint_registry.py
@@ -1,9 +1,9 @@
-"""The registry of endpoints: heartbeats, registrations, sign-offs and tombstones.
+"""The endpoint registry: heartbeats, registration, deregistration and tombstones.
 
-The leader keeps when each endpoint was last heard of; the replicated state
-changes only where a heartbeat says something new. A follower acknowledges a
-heartbeat that says nothing new and passes it on with its next response to the
-leader's heartbeat. docs/notes/draining.md
+The leader tracks when each endpoint was last seen; the replicated state changes
+only if a heartbeat reports a change. A follower acknowledges a heartbeat without
+a change and reports it with its next response to the leader's own heartbeat.
+docs/notes/draining.md
 """
 
 import datetime
@@ -24,36 +24,36 @@
 
 
 def _deregistration_key(incarnation: str) -> str:
-    """The tombstone of an incarnation that left by its own word: no heartbeat brings it back."""
+    """Return the tombstone key of an incarnation that deregistered itself: no heartbeat revives it."""
     return f'{incarnation}/left'
 
 
 class EndpointRegistry(controller_part.ControllerPart):
-    """Heartbeats and registrations of endpoints."""
+    """Handles heartbeats and (de)registration of endpoints."""
 
     def __init__(self, controller: controller_part.ControlNode):
         super().__init__(controller)
-        # While this node leads: since when, and when each incarnation was last heard of.
+        # While this node is the leader: since when, and when each incarnation was last seen.
         self.leader_since = durations.ZERO
         self.last_heartbeats: dict[str, datetime.timedelta] = {}
-        # The newest sequence number of each incarnation that numbers its heartbeats.
+        # The highest sequence number of each incarnation that numbers its heartbeats.
         self.heartbeat_sequences: dict[str, int] = {}
-        # Incarnations whose heartbeats this follower acknowledged since its last response to the leader.
+        # The incarnations whose heartbeats this follower acknowledged since its last response to the leader.
         self.unreported_heartbeats: set[str] = set()
 
     def start(self) -> None:
-        """This node leads now. Nobody knows for how long endpoints have been silent, so each gets the full time."""
+        """Start as leader. How long endpoints have been silent is unknown, so each gets the full timeout."""
         self.leader_since = self.controller.now
         self.last_heartbeats = {}
 
     def last_seen_at(self, incarnation: str) -> datetime.timedelta:
-        """When an endpoint was last heard of, or since when this node could have heard of it."""
+        """Return when an endpoint was last seen, or when this node became the leader if it was not seen since."""
         return self.last_heartbeats.get(incarnation, self.leader_since)
 
-    # -- heartbeats by way of a follower ----------------------------------
+    # -- heartbeats received by a follower --------------------------------
 
     def take_heartbeat(self, heartbeat: dict, respond: replies.Callback) -> None:
-        """A heartbeat that came to this node: the leader need not be asked if it says nothing new."""
+        """Handle a heartbeat sent to this node; a follower forwards it to the leader only if it reports a change."""
         heartbeats.check(heartbeat)
         controller = self.controller
         incarnation = heartbeat['inc']
@@ -69,12 +69,12 @@
             controller.request_operation('beat', heartbeat, respond)
 
     def pop_unreported(self) -> list[str]:
-        """The endpoints that were heard of here since the last response to the leader."""
+        """Return and clear the endpoints whose heartbeats were received since the last response to the leader."""
         received, self.unreported_heartbeats = self.unreported_heartbeats, set()
         return sorted(received)
 
     def on_heartbeat_response(self, message: messages.HeartbeatResponse) -> None:
-        """A follower passes on which endpoints it heard of."""
+        """Record the endpoints that a follower has seen."""
         if self.controller.is_leader and message.term == self.controller.term:
             for incarnation in message.endpoint_heartbeats or ():
                 self.last_heartbeats[incarnation] = self.controller.now
@@ -82,14 +82,14 @@
     # -- operations of the leader -----------------------------------------
 
     def serve_heartbeat(self, heartbeat: dict, callback: replies.Callback) -> None:
-        """Operation `beat`: refused with 410 for an incarnation that was declared gone."""
+        """Serve operation `beat`; refused with 410 if the incarnation was removed."""
         heartbeats.check(heartbeat)
         replica = self.controller.replica
         incarnation, sequence = heartbeat['inc'], heartbeat.get('seq')
         if sequence is None:
             heartbeats.require_not_removed(replica, incarnation)
         elif sequence < self.heartbeat_sequences.get(incarnation, 0):
-            # Acknowledged without effect: the endpoint has sent a newer heartbeat since.
+            # Acknowledged without effect: a newer heartbeat of the endpoint arrived before.
             callback(replies.ok())
             return
         else:
@@ -107,7 +107,7 @@
     def _register(
         self, txn: transactions.Transaction, incarnation: str, row: rows.EndpointRow, sequence: int | None
     ) -> replies.Result:
-        """Within a transaction: what a heartbeat says that is new."""
+        """Apply a changed heartbeat within a transaction."""
         known = txn.get(TABLE, incarnation)
         if sequence is None:
             heartbeats.require_not_removed(txn, incarnation)
@@ -122,16 +122,16 @@
         registered: rows.EndpointRow = row if sequence is None else {**row, 'seq': sequence}
         if known and known.get('chill') and sequence is not None:
             if sequence == known.get('seq'):
-                # The same heartbeat, retried at another leader, says nothing new of the warm-up.
+                # A retry of the same heartbeat at another leader is no new report on the warm-up.
                 return replies.ok()
             if known['chill'] == evacuations.WARM_UP_ASSUMED:
-                # One heartbeat does not end it: it may have been sent before the endpoint got cold.
+                # One heartbeat does not end the warm-up: it may have been sent before the endpoint cooled down.
                 registered['chill'] = 1
         txn.put(TABLE, incarnation, known if heartbeats.is_unchanged(known, row) else registered)
         return replies.ok(epoch=txn.get('meta', 'epoch') or 0)
 
     def _drop_predecessors(self, txn: transactions.Transaction, incarnation: str, row: rows.EndpointRow) -> None:
-        """An address has one incarnation at a time, so a newcomer proves that the one before is dead."""
+        """Remove earlier incarnations on the same address: it has one at a time, so a new one proves the others dead."""
         for other, its_row in txn.items(TABLE).items():
             if other != incarnation and its_row['addr'] == row['addr']:
                 self.remove_endpoint(txn, other)
@@ -139,24 +139,24 @@
     def _accepts_sequence(
         self, txn: transactions.Transaction, incarnation: str, row: rows.EndpointRow, sequence: int
     ) -> bool:
-        """Whether a numbered heartbeat counts, after what the state holds of its incarnation; may revive it."""
+        """True if a numbered heartbeat is newer than the state of its incarnation; may revive a removed incarnation."""
         known = txn.get(TABLE, incarnation)
         if txn.get(TOMBSTONES_TABLE, _deregistration_key(incarnation)) is not None:
-            # It left by its own word, so this was sent before.
+            # The endpoint deregistered itself, so this heartbeat was sent before that.
             return False
         if known and sequence < known.get('seq', 0):
-            # A former leader took a newer heartbeat.
+            # A former leader accepted a newer heartbeat.
             return False
         if txn.get(TOMBSTONES_TABLE, incarnation) is not None and row['state'] != heartbeats.LEAVING:
             if any(other['addr'] == row['addr'] for other in txn.items(TABLE).values()):
-                # The address has a new incarnation, which is alive, so this is a late heartbeat of a dead one.
+                # The address has a new, live incarnation, so this is a delayed heartbeat of a dead one.
                 return False
-            # Endpoints that number their heartbeats keep their incarnation, so this one was only silent.
+            # Endpoints that number their heartbeats keep their incarnation, so this one had only been unreachable.
             txn.drop(TOMBSTONES_TABLE, incarnation)
         return True
 
     def serve_leave(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `leave`: an endpoint signs off, for good."""
+        """Serve operation `leave`: an endpoint deregisters permanently."""
         incarnation = arguments.text(args, 'inc')
 
         def sign_off(txn: transactions.Transaction) -> replies.Result:
@@ -169,15 +169,15 @@
     # -- tombstones -------------------------------------------------------
 
     def remove_endpoint(self, txn: transactions.Transaction, incarnation: str) -> None:
-        """Within a transaction: drop an endpoint's row and leave a tombstone.
+        """Drop an endpoint's row within a transaction, and leave a tombstone.
 
-        The tombstone is part of the state, because the next leader must not let a
-        late heartbeat bring the incarnation back either.
+        The tombstone is part of the replicated state, so that a delayed heartbeat does
+        not revive the incarnation at the next leader either.
         """
         self.last_heartbeats.pop(incarnation, None)
         row = txn.get(TABLE, incarnation)
         if row and row.get('plain') and row['state'] == 'draining':
-            # It said that it goes, which a late heartbeat from before must not undo.
+            # The endpoint announced that it shuts down; a delayed earlier heartbeat must not undo that.
             self._mark_deregistered(txn, incarnation)
         txn.drop(TABLE, incarnation)
         txn.put(TOMBSTONES_TABLE, incarnation, txn.get('meta', 'epoch') or 0)
--- a/zinctrail/control/epochs.py
+++ b/zinctrail/control/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs: the leader's count of time spans, by which claims, results and histories are retained."""
+"""Epochs: the leader's numbered time periods, by which the retention of claims, results and histories is counted."""
 
 import datetime
 
@@ -12,19 +12,19 @@
 
 
 class Epochs(controller_part.ControllerPart):
-    """Begins an epoch after the other while this node leads."""
+    """Starts a new epoch periodically while this node is the leader."""
 
     def __init__(self, controller: controller_part.ControlNode):
         super().__init__(controller)
-        # When the present epoch began, as far as this leader knows.
+        # When the current epoch began, as far as this leader knows.
         self.began_at: datetime.timedelta = durations.ZERO
 
     def start(self) -> None:
-        """This node leads now. Nobody knows how old the present epoch is, so it gets its full time."""
+        """Start as leader. The age of the current epoch is unknown, so it gets its full duration."""
         self.began_at = self.controller.now
 
     def advance(self) -> None:
-        """Begin the next epoch once the present one has lasted its time, and drop what is past its retention."""
+        """Start the next epoch once the current one is over, and drop the rows whose retention has ended."""
         controller = self.controller
         if controller.now - self.began_at < controller.settings.epoch and controller.replica.get('meta', 'epoch'):
             return
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -1,10 +1,10 @@
-"""Evacuations of zones and their withdrawals: each order acts once, and none after a newer one was acknowledged.
+"""Commands that evacuate zones or end evacuations: each acts once, and none after a newer one was acknowledged.
 
-An evacuation carries nothing that orders it among others. So the node that
-received the call first reads the zone's order number from the leader, and the
-order then acts only on that number; each order that is acknowledged raises it,
-also one that changes nothing. Copies of an order that are still on their way
-find a higher number. The rows: rows.EvacuationOrderRow, kept by voters alone.
+A command carries no version of its own. The node that received the call therefore
+first reads the zone's command number from the leader, and the command then takes
+effect only at that number (compare-and-set); each acknowledged command raises the
+number, even if it changes nothing. Delayed copies of a command find a higher
+number. The rows: rows.EvacuationCommandRow, stored by voters only.
 docs/notes/worst-days/orders.md
 """
 
@@ -23,9 +23,9 @@
 
 TABLE = 'cell_orders'
 ZONES_TABLE = 'cells'
-# How many orders on a zone are taken within an epoch; further ones are refused, so that all that were taken are known.
+# How many commands on a zone are accepted per epoch; further ones are refused, so that all accepted ids are stored.
 MAX_COMMAND_IDS = 512
-# EndpointRow.chill of an endpoint that counts as cold until two heartbeats of its own have said otherwise.
+# EndpointRow.chill of an endpoint that counts as warming up until two of its heartbeats have reported otherwise.
 WARM_UP_ASSUMED = 2
 MAX_ZONE_LENGTH = 300
 RETRY_MS = 200
@@ -36,15 +36,15 @@
 
 
 def read_number(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `cell.order` {cell}: the number that the next order on a zone has to be based on."""
+    """Return the number that the next command on a zone must be based on: operation `cell.order` {cell}."""
     return replies.ok(number=_commands(txn, _zone(args))['number'])
 
 
 def apply(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `cell.empty` {cell, on, id, number}: send no requests to a zone's endpoints, or take that back.
+    """Evacuate a zone's endpoints, or end the evacuation: operation `cell.empty` {cell, on, id, number}.
 
-    The zone's proxies go on. 409 with the present number if another order was
-    acknowledged since `number` was read.
+    An evacuated zone's endpoints get no requests; its proxies keep serving. 409 with
+    the current number if another command was acknowledged since `number` was read.
     """
     zone, is_evacuation = _zone(args), args.get('on')
     if not isinstance(is_evacuation, bool):
@@ -57,7 +57,7 @@
         if command_id in ids or command_id in earlier_ids:
             return replies.ok()
         number = arguments.whole_number(args, 'number', 0, arguments.MAX_EXACT_INTEGER, 0)
-        # Orders that race for the same end need not wait for each other: at this moment it is as they want it.
+        # Concurrent commands for the same outcome need not conflict: the zone is already in the state that they ask for.
         if number != commands['number'] and _is_emptied(txn, zone) != is_evacuation:
             raise errors.ConflictError('another order on this cell was acknowledged first', number=commands['number'])
         if len(ids) >= MAX_COMMAND_IDS:
@@ -69,9 +69,9 @@
 
 
 def drop_old_ids(txn: transactions.Transaction) -> None:
-    """At the begin of an epoch, forget the orders that were taken before the epoch that has ended.
+    """Drop the ids of commands accepted before the epoch that has just ended; called when an epoch starts.
 
-    So each is known for an epoch at least, which is longer than a call is sent again for (setting `call`).
+    Each id is thus stored for at least an epoch, which is longer than a call is retried (setting `call`).
     """
     for zone, commands in txn.items(TABLE).items():
         if commands['ids'] or commands.get('past'):
@@ -111,21 +111,21 @@
 
 
 def _mark_endpoints_warming_up(txn: transactions.Transaction, zone: str) -> None:
-    """They may have got cold while nobody sent them requests; their next heartbeats tell."""
+    """Mark a zone's endpoints as warming up: without requests they may have cooled down; their heartbeats will tell."""
     for incarnation, endpoint in txn.items('endpoints').items():
         if endpoint['cell'] == zone and endpoint.get('plain'):
             txn.put('endpoints', incarnation, dict(endpoint, chill=WARM_UP_ASSUMED))
 
 
 class EvacuationService(controller_part.ControllerPart):
-    """The operations that a leader does."""
+    """Serves the operations at the leader."""
 
     def serve_evacuation(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `cell.empty`."""
+        """Serve operation `cell.empty`."""
         self.controller.submit(lambda txn: apply(txn, args), callback, for_caller=True)
 
     def serve_number(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `cell.order`."""
+        """Serve operation `cell.order`."""
         self.controller.read(lambda view: read_number(view, args), callback)
 
 
@@ -133,7 +133,7 @@
 
 
 class CalledNode(typing.Protocol):
-    """What an order needs of the node that received the call."""
+    """The interface of the node that received the call."""
 
     now: datetime.timedelta
     rng: random.Random
@@ -141,10 +141,10 @@
 
 
 class WaitingCalls(typing.Protocol):
-    """The calls that wait at that node."""
+    """The calls that are pending at that node."""
 
     def is_waiting(self, respond: replies.Callback) -> bool:
-        """Whether the caller still waits."""
+        """True if the caller is still waiting."""
 
     def request_step(
         self,
@@ -154,14 +154,14 @@
         callback: replies.Callback,
         timeout: datetime.timedelta,
     ) -> None:
-        """Have the leader do one operation for the caller; `callback` gets its result."""
+        """Have the leader carry out one operation for the caller; `callback` gets its result."""
 
 
 class EvacuationCall:
-    """A caller's order on its way to the leader: reads the zone's number, then acts on it.
+    """Forwards a caller's command to the leader: reads the zone's command number, then sends the command with it.
 
-    Each step is taken only while the caller waits. A copy of the call that a
-    frozen node finds when it goes on does not act, once its caller is known to have gone.
+    Each step is taken only while the caller waits: a call that a frozen node still
+    holds when it resumes has no effect once its caller is known to have disconnected.
     """
 
     def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, respond: replies.Callback):
@@ -173,7 +173,7 @@
         self.until = node.now + node.settings.call
 
     def start(self) -> None:
-        """Take the first step."""
+        """Request the zone's command number."""
         self._request('cell.order', {'cell': self.commands['cell']}, self._number_read)
 
     def _request(self, operation: str, args: dict, then: replies.Callback) -> None:
@@ -192,10 +192,10 @@
         if result['status'] == 200:
             self._act(result['number'])
         elif result['status'] == 404:
-            # A leader of an earlier release, which knows no numbers.
+            # A leader of an earlier release does not support command numbers.
             self._request('cell.empty', self.commands, self.respond)
         elif result['status'] == 504:
-            # The result is unknown, but only a read was requested, so that nothing was done.
+            # The result is unknown, but only a read was requested, so nothing was changed.
             self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
         else:
             self.respond(result)
--- a/zinctrail/control/heartbeats.py
+++ b/zinctrail/control/heartbeats.py
@@ -1,9 +1,9 @@
-"""Heartbeats of endpoints: what they may say, and the row of the replicated state that they stand for.
+"""Heartbeats of endpoints: their validation, and their conversion to a row of the replicated state.
 
 A heartbeat is {inc, addr, service, cell, slots, state} with labels, cold,
-pressure, seq and cold_ms optional (docs/interface.md). An endpoint that links no
-library of ours numbers its heartbeats (`seq`) and tells how many milliseconds of
-its warm-up are left (`cold_ms`) instead of the share that is (`cold`).
+pressure, seq and cold_ms optional (docs/interface.md). An endpoint that does not
+use our client library numbers its heartbeats (`seq`) and reports the remaining
+milliseconds of its warm-up (`cold_ms`) instead of the remaining share (`cold`).
 """
 
 import math
@@ -21,13 +21,13 @@
 LEAVING = 'leaving'
 STATES = ('ready', 'draining', LEAVING)
 MAX_SLOTS = 100000
-# Ratios: how much of the warm-up is left; the load by what the endpoint bears.
+# Maximum ratios: of the remaining warm-up, and of the load to the endpoint's capacity.
 MAX_COLD = 1
 MAX_LOAD = 1000
 
 
 def check(heartbeat: dict) -> None:
-    """Refuse a heartbeat that is malformed, with all its faults."""
+    """Refuse a malformed heartbeat, listing all of its errors."""
     checks = document_checks.DocumentChecks()
     if checks.fields('$', heartbeat, KNOWN_FIELDS, REQUIRED_FIELDS):
         for key in ('inc', 'service', 'cell'):
@@ -43,7 +43,7 @@
 
 
 def _check_report(checks: document_checks.DocumentChecks, heartbeat: dict) -> None:
-    """Check what changes from heartbeat to heartbeat: state, warm-up and load."""
+    """Check the fields that change from heartbeat to heartbeat: state, warm-up and load."""
     if heartbeat.get('state') not in STATES:
         checks.add('$.state', f'must be one of {", ".join(STATES)}')
     for key, high in (('cold', MAX_COLD), ('pressure', MAX_LOAD)):
@@ -59,7 +59,7 @@
 
 
 def to_row(heartbeat: dict) -> rows.EndpointRow:
-    """The row that a heartbeat stands for, without its sequence number."""
+    """Convert a heartbeat to an endpoint row, without its sequence number."""
     row: rows.EndpointRow = {
         'addr': heartbeat['addr'],
         'service': heartbeat['service'],
@@ -67,23 +67,23 @@
         'labels': heartbeat.get('labels', {}),
         'slots': heartbeat['slots'],
         'state': heartbeat['state'],
-        # In steps, so that a warm-up does not cost a version of the state for each heartbeat; rounded up, so that the
-        # endpoint never seems to be further than it is.
+        # In steps, so that a warm-up does not create a version of the state with each heartbeat; rounded up, so that the
+        # endpoint never appears warmer than it is.
         'cold': math.ceil(heartbeat.get('cold', 0) * routing_table.CAPACITY_STEPS),
     }
     if 'seq' in heartbeat:
-        # Whether it is cold is enough for those that send requests; the milliseconds would change with each heartbeat.
+        # Proxies only need to know whether it is warming up; the milliseconds would change with each heartbeat.
         row['plain'] = True
         row['chill'] = int(heartbeat.get('cold_ms', 0) > 0)
     return row
 
 
 def is_unchanged(row: rows.EndpointRow | None, reported: rows.EndpointRow) -> bool:
-    """Whether a heartbeat reports what the endpoint's row says already, whatever its sequence number."""
+    """True if a heartbeat reports the same as the endpoint's row, regardless of its sequence number."""
     return row is not None and {key: value for key, value in row.items() if key != 'seq'} == reported
 
 
 def require_not_removed(state, incarnation: str) -> None:
-    """Refuse an incarnation that was declared gone: it never comes back, and the endpoint has to take a new one."""
+    """Refuse an incarnation that was removed: it never returns, and the endpoint must create a new one."""
     if state.get(retention.TOMBSTONES_TABLE, incarnation) is not None:
         raise errors.GoneError('this incarnation was declared gone: mint a new one')
--- a/zinctrail/control/keys.py
+++ b/zinctrail/control/keys.py
@@ -1,7 +1,7 @@
-"""Small keys with revisions, compare-and-set, and watches over prefixes.
+"""A key-value store for small values, with revisions, compare-and-set, and watches over prefixes.
 
-Every change of a key is also an event. Events are kept for some epochs
-(control.retention), so that a watcher that was away can catch up.
+Every change of a key is also an event. Events are retained for some epochs
+(control.retention), so that a watcher that was disconnected can catch up.
 """
 
 import typing
@@ -20,7 +20,7 @@
 
 
 class KeyRow(typing.TypedDict):
-    """A row of table `keys`, by the key."""
+    """A row of table `keys`, keyed by the key's name."""
 
     value: str
     # The revision of the key's last change.
@@ -28,18 +28,18 @@
 
 
 class EventRow(typing.TypedDict):
-    """A row of table `events`, by its revision with leading zeros: rows then sort in the order of the changes."""
+    """A row of table `events`, keyed by its revision with leading zeros, so that rows sort in the order of changes."""
 
     key: str
-    # None: the key was removed.
+    # None if the key was removed.
     value: str | None
     rev: int
-    # The epoch of the change; the event is dropped some epochs later.
+    # The epoch of the change; the event is dropped `epochs_kept` epochs later.
     epoch: int
 
 
 def checked_value(args: dict) -> str:
-    """The argument `value` of an operation that writes."""
+    """Return the validated argument `value` of an operation that writes."""
     value = args.get('value')
     if not isinstance(value, str) or len(value) > MAX_VALUE_LENGTH:
         raise errors.BadRequestError(f'value must be a text up to {MAX_VALUE_LENGTH}')
@@ -47,13 +47,13 @@
 
 
 def check_revision(args: dict, present: int):
-    """Compare-and-set: refuse with 409 if the call names a revision and it is not the present one (0: no row)."""
+    """Compare-and-set: refuse with 409 if the call names a revision other than the current one (0: no row)."""
     if args.get('rev') is not None and args['rev'] != present:
         raise errors.ConflictError(f'at revision {present}', rev=present)
 
 
 def get(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`key.get` {key}: its value and revision; `head` is the newest revision of all, from which to watch."""
+    """Return a key's value and revision: `key.get` {key}. `head` is the newest revision, from which to watch."""
     row = txn.get(TABLE, arguments.text(args, 'key'))
     if row is None:
         raise errors.NotFoundError('no such key', rev=0, head=revisions.current(txn))
@@ -61,7 +61,7 @@
 
 
 def put(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`key.put` {key, value, rev, id}: write a key; with `rev`, only if it is at that revision (0: absent)."""
+    """Write a key: `key.put` {key, value, rev, id}. With `rev`, only if it is at that revision (0: absent)."""
     key = arguments.text(args, 'key')
     value = checked_value(args)
     _row_at_revision(txn, key, args)
@@ -72,7 +72,7 @@
 
 
 def remove(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`key.drop` {key, rev, id}: remove a key; with `rev`, only if it is at that revision; 404 if absent."""
+    """Remove a key: `key.drop` {key, rev, id}. With `rev`, only if it is at that revision; 404 if absent."""
     key = arguments.text(args, 'key')
     if _row_at_revision(txn, key, args) is None:
         raise errors.NotFoundError('no such key', rev=0)
@@ -81,10 +81,10 @@
 
 
 def watch(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """`key.watch` {prefix, since}: the events after revision `since`; the controller waits while there are none.
+    """Return the events after revision `since`: `key.watch` {prefix, since}. The controller waits while there are none.
 
-    410 where the history does not reach back that far: a watcher that was
-    silently moved ahead would miss changes without knowing.
+    410 if the history no longer reaches back that far: a watcher that silently
+    skipped ahead would miss changes without noticing.
     """
     prefix = args.get('prefix', '')
     since = arguments.whole_number(args, 'since', 0, arguments.MAX_EXACT_INTEGER, 0)
