--- a/zinctrail/control/claims.py
+++ b/zinctrail/control/claims.py
@@ -27,19 +27,19 @@
     request_id, nonce, proxy, address = (arguments.text(args, key) for key in ('id', 'nonce', 'proxy', 'at'))
     attempt = arguments.whole_number(args, 'attempt', 1, MAX_ATTEMPTS)
     epoch = txn.get('meta', 'epoch') or 0
-    made_in = epoch_of(request_id)
-    if made_in is None or made_in > epoch:
+    id_epoch = epoch_of(request_id)
+    if id_epoch is None or id_epoch > epoch:
         raise errors.BadRequestError(f'request id must begin with an epoch that has begun (now {epoch}) and a dot')
-    if made_in <= epoch - controller.settings.epochs_kept:
+    if id_epoch <= epoch - controller.settings.epochs_kept:
         return replies.ok(got='old')
     row: rows.ClaimRow | None = txn.get(TABLE, request_id)
     if row:
-        is_free_again = row['s'] == CLOSED and attempt > row['a']
-        if row['n'] != nonce and not is_free_again:
+        may_claim_again = row['s'] == CLOSED and attempt > row['a']
+        if row['n'] != nonce and not may_claim_again:
             return replies.ok(got='taken', by=row['p'], at=row['at'], state=row['s'], attempt=row['a'])
         if row['n'] == nonce and row['s'] == CLOSED:
             return replies.ok(got='closed')
-    new: rows.ClaimRow = {'p': proxy, 'a': attempt, 'n': nonce, 'at': address, 's': OPEN, 'epoch': made_in}
+    new: rows.ClaimRow = {'p': proxy, 'a': attempt, 'n': nonce, 'at': address, 's': OPEN, 'epoch': id_epoch}
     txn.put(TABLE, request_id, new)
     return replies.ok(got='claimed')
 
--- a/zinctrail/control/configuration.py
+++ b/zinctrail/control/configuration.py
@@ -194,9 +194,9 @@
     based on; 409 if it is not the current version.
     """
     require_valid(document)
-    present = txn.get('meta', 'conf') or 0
-    if base != present:
-        raise errors.ConflictError(f'based on generation {base}, the present one is {present}', generation=present)
+    current = txn.get('meta', 'conf') or 0
+    if base != current:
+        raise errors.ConflictError(f'based on generation {base}, the present one is {current}', generation=current)
     rows = to_rows(document)
     for table in (TABLE, ZONES_TABLE):
         for key in txn.items(table):
--- a/zinctrail/control/configuration_items.py
+++ b/zinctrail/control/configuration_items.py
@@ -309,13 +309,13 @@
     changed = 0
     conflicts: list[ConflictRow] = []
     for change in to_changes(document):
-        present: ItemRow | None = txn.get(TABLE, change.key)
-        if present is not None and change.version <= present['v']:
-            if not _may_acknowledge(txn, change, present):
-                conflicts.append(_conflict(change, present))
+        current: ItemRow | None = txn.get(TABLE, change.key)
+        if current is not None and change.version <= current['v']:
+            if not _may_acknowledge(txn, change, current):
+                conflicts.append(_conflict(change, current))
             continue
-        if present is not None:
-            version_contents.remember(txn, change.key, present['v'], version_contents.digest(present['row']))
+        if current is not None:
+            version_contents.store_digest(txn, change.key, current['v'], version_contents.digest(current['row']))
         row: ItemRow = {'v': change.version, 'row': change.row}
         txn.put(TABLE, change.key, row)
         changed += 1
@@ -324,21 +324,21 @@
     return replies.ok(took=changed, generation=txn.generation)
 
 
-def _may_acknowledge(txn: transactions.Transaction, change: ItemChange, present: ItemRow) -> bool:
+def _may_acknowledge(txn: transactions.Transaction, change: ItemChange, current: ItemRow) -> bool:
     """True if an item that changes nothing may be acknowledged: its version does not belong to different content."""
-    if change.version == present['v']:
-        return version_contents.is_same(change.row, present['row'])
+    if change.version == current['v']:
+        return version_contents.is_same(change.row, current['row'])
     content = version_contents.digest(change.row)
-    known = version_contents.remembered(txn, change.key, change.version)
+    known = version_contents.stored_digest(txn, change.key, change.version)
     if known is None and version_contents.is_complete(txn):
         # No content was ever acknowledged under this version: from now on it belongs to this content.
-        version_contents.remember(txn, change.key, change.version, content)
+        version_contents.store_digest(txn, change.key, change.version, content)
     return known in (None, content)
 
 
-def _conflict(change: ItemChange, present: ItemRow) -> ConflictRow:
+def _conflict(change: ItemChange, current: ItemRow) -> ConflictRow:
     part, _, name = change.key.partition('/')
-    return {'part': part, 'name': name, 'version': change.version, 'standing': present['v']}
+    return {'part': part, 'name': name, 'version': change.version, 'standing': current['v']}
 
 
 def _version_conflict_error(conflicts: list[ConflictRow]) -> errors.ConflictError:
--- a/zinctrail/control/coordination.py
+++ b/zinctrail/control/coordination.py
@@ -88,15 +88,15 @@
     its stored result was dropped. 409 if the id was used with other arguments.
     """
     call_id = arguments.text(args, 'id')
-    remembered = txn.get(retention.RESULTS_TABLE, call_id)
+    stored = txn.get(retention.RESULTS_TABLE, call_id)
     checksum = zlib.crc32(json.dumps(args, sort_keys=True).encode())
-    if remembered is not None:
-        if remembered['op'] != name or remembered.get('of', checksum) != checksum:
+    if stored is not None:
+        if stored['op'] != name or stored.get('of', checksum) != checksum:
             raise errors.ConflictError('this id was used for another operation')
-        return remembered['result']
+        return stored['result']
     epoch = txn.get('meta', 'epoch') or 0
-    made_in = arguments.epoch_number(call_id.split('.', 1)[0])
-    if made_in is None or not epoch - controller.settings.epochs_kept < made_in <= epoch:
+    id_epoch = arguments.epoch_number(call_id.split('.', 1)[0])
+    if id_epoch is None or not epoch - controller.settings.epochs_kept < id_epoch <= epoch:
         raise errors.BadRequestError(f'id must begin with an epoch in use (now {epoch}) and a dot', epoch=epoch)
     result = function(controller, txn, args)
     row: ResultRow = {'op': name, 'of': checksum, 'result': result, 'epoch': epoch}
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -22,7 +22,7 @@
 DEFAULT_HEALTH_PATH = '/health'
 LIBRARY_HEALTH_PATH = '/zt/live'
 # A control node counts as reachable if its last response is no older than this many heartbeat intervals.
-FRESH_INTERVALS = 2
+REACHABLE_INTERVALS = 2
 # A health check without a result after this many times its timeout is reassigned to another node.
 RESULT_TIMEOUTS = 2
 # An endpoint is alive if its last heartbeat is no older than this many of its heartbeat intervals.
@@ -113,12 +113,12 @@
 
     def _choose_checker(self, incarnation: str, earlier_checkers: list[str]) -> str:
         controller = self.controller
-        fresh = controller.now - controller.settings.check * FRESH_INTERVALS
+        last_seen_limit = controller.now - controller.settings.check * REACHABLE_INTERVALS
         nodes = [controller.node]
         nodes += [
             node
             for node, peer in controller.peers.items()
-            if peer.role == member_roles.CONTROL_NODE and peer.heard_at >= fresh
+            if peer.role == member_roles.CONTROL_NODE and peer.heard_at >= last_seen_limit
         ]
         nodes = [node for node in nodes if node not in earlier_checkers] or nodes
         return min(nodes, key=lambda node: hashlib.blake2b(f'{node}/{incarnation}'.encode()).digest())
@@ -224,7 +224,7 @@
     # A new incarnation on the same address responds too, but it is not the one being checked.
     responding_incarnation = response.headers.get('zt-inc')
     if call.is_plain and not response.fault:
-        # Any response shows that the endpoint is alive. Its reported health may be wrong, so outlier detection judges it.
+        # Any response shows that the endpoint is alive. Its reported health may be wrong; outlier detection judges it.
         is_expected = responding_incarnation in (call.incarnation, None, '')
         return HealthCheckResult(is_expected, not is_expected)
     is_healthy = response.status == 200 and responding_incarnation == call.incarnation
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -167,18 +167,18 @@
     def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, respond: replies.Callback):
         self.node = node
         self.calls = calls
-        self.commands = {'cell': body.get('cell'), 'on': body.get('on')}
+        self.command = {'cell': body.get('cell'), 'on': body.get('on')}
         self.id = f'{node.rng.getrandbits(64):x}'
         self.respond = respond
-        self.until = node.now + node.settings.call
+        self.deadline = node.now + node.settings.call
 
     def start(self) -> None:
         """Request the zone's command number."""
-        self._request('cell.order', {'cell': self.commands['cell']}, self._number_read)
+        self._request('cell.order', {'cell': self.command['cell']}, self._receive_number)
 
     def _request(self, operation: str, args: dict, then: replies.Callback) -> None:
-        left = self.until - self.node.now
-        if left <= durations.ZERO:
+        remaining = self.deadline - self.node.now
+        if remaining <= durations.ZERO:
             self.respond(replies.refused(503, 'other orders on this cell came first', retry_ms=RETRY_MS))
             return
 
@@ -186,25 +186,25 @@
             if self.calls.is_waiting(self.respond):
                 then(result)
 
-        self.calls.request_step(self.respond, operation, args, receive, left)
+        self.calls.request_step(self.respond, operation, args, receive, remaining)
 
-    def _number_read(self, result: replies.Result) -> None:
+    def _receive_number(self, result: replies.Result) -> None:
         if result['status'] == 200:
-            self._act(result['number'])
+            self._send_command(result['number'])
         elif result['status'] == 404:
             # A leader of an earlier release does not support command numbers.
-            self._request('cell.empty', self.commands, self.respond)
+            self._request('cell.empty', self.command, self.respond)
         elif result['status'] == 504:
             # The result is unknown, but only a read was requested, so nothing was changed.
             self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
         else:
             self.respond(result)
 
-    def _act(self, number: int) -> None:
-        self._request('cell.empty', {**self.commands, 'id': self.id, 'number': number}, self._acted)
+    def _send_command(self, number: int) -> None:
+        self._request('cell.empty', {**self.command, 'id': self.id, 'number': number}, self._receive_result)
 
-    def _acted(self, result: replies.Result) -> None:
+    def _receive_result(self, result: replies.Result) -> None:
         if result['status'] == 409 and 'number' in result:
-            self._act(result['number'])
+            self._send_command(result['number'])
         else:
             self.respond(result)
--- a/zinctrail/control/keys.py
+++ b/zinctrail/control/keys.py
@@ -46,10 +46,10 @@
     return value
 
 
-def check_revision(args: dict, present: int):
+def check_revision(args: dict, current: int):
     """Compare-and-set: refuse with 409 if the call names a revision other than the current one (0: no row)."""
-    if args.get('rev') is not None and args['rev'] != present:
-        raise errors.ConflictError(f'at revision {present}', rev=present)
+    if args.get('rev') is not None and args['rev'] != current:
+        raise errors.ConflictError(f'at revision {current}', rev=current)
 
 
 def get(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
--- a/zinctrail/control/locks.py
+++ b/zinctrail/control/locks.py
@@ -187,8 +187,8 @@
     is_held: bool,
 ):
     if row is not None and is_held and row['holder'] != owner:
-        left_ms = durations.to_ms(controller.lock_expiry.deadlines[name] - txn.now)
-        retry_ms = max(MIN_RETRY_MS, min(left_ms, MAX_RETRY_MS))
+        remaining_ms = durations.to_ms(controller.lock_expiry.deadlines[name] - txn.now)
+        retry_ms = max(MIN_RETRY_MS, min(remaining_ms, MAX_RETRY_MS))
         raise errors.ConflictError('held by another', holder=row['holder'], retry_ms=retry_ms)
 
 
--- a/zinctrail/control/lookup_metrics.py
+++ b/zinctrail/control/lookup_metrics.py
@@ -26,18 +26,18 @@
         self.member = member
         self.responses: collections.Counter[str] = collections.Counter()
         # The zones whose last response named proxies of other regions.
-        self.spilling: set[str] = set()
+        self.spillover_zones: set[str] = set()
 
     def observe(self, zone: str, chosen: ingress_selection.SelectedIngresses) -> None:
         """Record the proxies that a response for a zone names."""
         in_zone, in_region, elsewhere = chosen
         self.responses['elsewhere' if elsewhere else 'region' if in_region else 'cell'] += 1
-        if bool(elsewhere) == (zone in self.spilling):
+        if bool(elsewhere) == (zone in self.spillover_zones):
             return
-        if elsewhere and len(self.spilling) < MAX_ZONES:
-            self.spilling.add(zone)
+        if elsewhere and len(self.spillover_zones) < MAX_ZONES:
+            self.spillover_zones.add(zone)
         else:
-            self.spilling.discard(zone)
+            self.spillover_zones.discard(zone)
         self.member.log(
             f'Lookup responses for zone {zone:.60} {"" if elsewhere else "no longer "}name proxies of other regions.',
             'lookup',
--- a/zinctrail/control/outlier_detection.py
+++ b/zinctrail/control/outlier_detection.py
@@ -50,7 +50,7 @@
 class Ejection(typing.NamedTuple):
     """An ejection, current or past."""
 
-    until: datetime.timedelta
+    ends_at: datetime.timedelta
     duration: datetime.timedelta
 
 
@@ -70,8 +70,8 @@
 
     def evaluate(self, now: datetime.timedelta, endpoints: dict[str, rows.EndpointRow], proxies: int) -> set[str]:
         """Return the incarnations that are ejected as of now; `proxies` is the number of proxies."""
-        self._forget(now, endpoints)
-        ejected = {i for i, ejection in self.ejections.items() if ejection.until > now}
+        self._drop_expired(now, endpoints)
+        ejected = {i for i, ejection in self.ejections.items() if ejection.ends_at > now}
         outliers = self._outliers(ejected, proxies)
         sizes = collections.Counter(endpoint['service'] for endpoint in endpoints.values())
         ejected_of_service = collections.Counter(endpoints[i]['service'] for i in ejected)
@@ -84,12 +84,12 @@
             ejected.add(incarnation)
         return ejected
 
-    def _forget(self, now: datetime.timedelta, endpoints: dict[str, rows.EndpointRow]) -> None:
+    def _drop_expired(self, now: datetime.timedelta, endpoints: dict[str, rows.EndpointRow]) -> None:
         """Drop expired reports and ejections, and those of removed endpoints."""
         for incarnation in [i for i in self.reports if i not in endpoints]:
             del self.reports[incarnation]
         for incarnation, ejection in list(self.ejections.items()):
-            if incarnation not in endpoints or ejection.until + REPEATED_EJECTION_WINDOW <= now:
+            if incarnation not in endpoints or ejection.ends_at + REPEATED_EJECTION_WINDOW <= now:
                 del self.ejections[incarnation]
         for incarnation, reports in list(self.reports.items()):
             while reports and reports[0].at <= now - WINDOW:
--- a/zinctrail/control/proxy_lookup.py
+++ b/zinctrail/control/proxy_lookup.py
@@ -80,14 +80,16 @@
         if not self.member.leased():
             # A client would keep using a stale response, so the lookup is refused.
             raise errors.UnavailableError(
-                'no lease on the state', elsewhere=self._others(member_roles.DIRECTORY), retry_ms=RETRY_WITHOUT_LEASE_MS
+                'no lease on the state',
+                elsewhere=self._other_addresses(member_roles.DIRECTORY),
+                retry_ms=RETRY_WITHOUT_LEASE_MS,
             )
         is_open_traffic = body.get('front', False)
         if not isinstance(is_open_traffic, bool):
             raise errors.BadRequestError('front must be true or false')
         respond(self.find_ingresses(zone, most, host) if is_open_traffic else self.find_proxies(home, zone, most))
 
-    def _others(self, role: str) -> list[str]:
+    def _other_addresses(self, role: str) -> list[str]:
         """Return the HTTP addresses of the other members with a role."""
         return sorted(
             member['http'] for node, member in self.member.routes.members(role).items() if node != self.member.node
@@ -108,23 +110,25 @@
         proxies = [
             member
             for member in self.member.routes.members(member_roles.PROXY).values()
-            if self._may_carry(member, home)
+            if self._is_eligible(member, home)
         ]
         if not proxies:
             raise errors.UnavailableError('no proxy may carry this now', retry_ms=RETRY_WITHOUT_PROXY_MS)
         # Shuffled within a distance, so that the clients of a zone do not all use the same proxy.
         self.member.rng.shuffle(proxies)
         proxies.sort(key=distance)
-        near = sum(distance(member) < ELSEWHERE for member in proxies)
+        near_count = sum(distance(member) < ELSEWHERE for member in proxies)
         return replies.ok(
-            proxies=[member['http'] for member in proxies[: min(most, max(near, ingress_selection.MIN_INGRESSES))]],
+            proxies=[
+                member['http'] for member in proxies[: min(most, max(near_count, ingress_selection.MIN_INGRESSES))]
+            ],
             ttl_ms=self._time_to_live_ms(),
             epoch=self.member.replica.get('meta', 'epoch') or 0,
             generation=self.member.replica.committed[1],
-            dirs=self._others(member_roles.DIRECTORY)[:MAX_DIRECTORIES],
+            dirs=self._other_addresses(member_roles.DIRECTORY)[:MAX_DIRECTORIES],
         )
 
-    def _may_carry(self, member: rows.MemberRow, home: list[str]) -> bool:
+    def _is_eligible(self, member: rows.MemberRow, home: list[str]) -> bool:
         return (
             not member.get('leaving')
             and not self.member.routes.is_evacuated(member['cell'])
--- a/zinctrail/control/recovery.py
+++ b/zinctrail/control/recovery.py
@@ -105,29 +105,33 @@
 
     def __init__(self, replicas: list[ReplicaExport], target: str | None):
         self.faults: list[str] = []
-        stored = [r for r in replicas if r['cluster'] and r['accepted'] > [0, 0]]
-        self.clusters = sorted({r['cluster'] for r in stored})
+        with_state = [r for r in replicas if r['cluster'] and r['accepted'] > [0, 0]]
+        self.clusters = sorted({r['cluster'] for r in with_state})
         self.target = next((r for r in replicas if r['http'] == target), None)
         # The source of the routes: the newest replica, preferably a control node's.
-        self.routes = max(stored, key=lambda r: (r['accepted'], r['role'] == member_roles.CONTROL_NODE), default=None)
+        self.routes = max(
+            with_state, key=lambda r: (r['accepted'], r['role'] == member_roles.CONTROL_NODE), default=None
+        )
         # The source of keys and numbers, which only voters store.
-        voters_found = [r for r in stored if r['role'] == member_roles.CONTROL_NODE]
-        self.coordination = max(voters_found, key=lambda r: r['accepted'], default=None)
+        control_nodes = [r for r in with_state if r['role'] == member_roles.CONTROL_NODE]
+        self.coordination = max(control_nodes, key=lambda r: r['accepted'], default=None)
         voting_set = self.routes.get('voters') if self.routes else None
         self.voters = (voting_set or {}).get('accepted', [])
-        self.reachable_voters = sorted(r['id'] for r in voters_found if r['id'] in self.voters)
+        self.reachable_voters = sorted(r['id'] for r in control_nodes if r['id'] in self.voters)
         self.lost_voters = sorted(set(self.voters) - set(self.reachable_voters))
-        self._check_replicas(stored)
+        self._check_replicas(with_state)
         self._check_target(target)
 
-    def _check_replicas(self, stored: list[ReplicaExport]) -> None:
-        if not stored:
+    def _check_replicas(self, with_state: list[ReplicaExport]) -> None:
+        if not with_state:
             self.faults.append('none of the queried processes holds a copy of the state')
         if len(self.clusters) > 1:
             self.faults.append(f'copies of several clusters were found: {", ".join(self.clusters)}')
-        with_leader = sorted(r['http'] for r in stored if r['master'])
-        if with_leader:
-            self.faults.append(f'a leader is active, or was until a moment ago, according to {", ".join(with_leader)}')
+        following_leader = sorted(r['http'] for r in with_state if r['master'])
+        if following_leader:
+            self.faults.append(
+                f'a leader is active, or was until a moment ago, according to {", ".join(following_leader)}'
+            )
         if replica.quorum(self.reachable_voters, self.voters):
             self.faults.append(
                 f'a majority of the voters is reachable ({len(self.reachable_voters)} of {len(self.voters)})'
@@ -173,8 +177,8 @@
         sources = [self.routes]
         if self.coordination:
             sources.append(self.coordination)
-            stored = self.coordination['tables']
-            tables.update({table: rows for table, rows in stored.items() if table not in replica.ROUTES})
+            coordination_tables = self.coordination['tables']
+            tables.update({table: rows for table, rows in coordination_tables.items() if table not in replica.ROUTES})
         return {
             'cluster': self.clusters[0],
             'term': max(source['term'] for source in sources),
--- a/zinctrail/control/registers.py
+++ b/zinctrail/control/registers.py
@@ -96,18 +96,18 @@
     """
     group = arguments.text(args, 'group')
     since = arguments.whole_number(args, 'since', 0, arguments.MAX_EXACT_INTEGER, 0)
-    present = _group_revision(txn, group)
-    if since == 0 or since >= present:
-        return replies.ok(events=[], rev=present)
+    current = _group_revision(txn, group)
+    if since == 0 or since >= current:
+        return replies.ok(events=[], rev=current)
     if since < (txn.get(COMPACTED_TABLE, group) or 0):
-        raise _history_dropped(present)
+        raise _history_dropped(current)
     events = []
-    for revision in range(since + 1, present + 1):
+    for revision in range(since + 1, current + 1):
         row = txn.get(CHANGES_TABLE, _change_key(group, revision))
         if row is None:
-            raise _history_dropped(present)
+            raise _history_dropped(current)
         events.append({'name': row['name'], 'value': row['value'], 'rev': revision})
-    return replies.ok(events=events, rev=present)
+    return replies.ok(events=events, rev=current)
 
 
 def _revision_of(
@@ -145,5 +145,5 @@
     return f'{group}/{revision:016d}'
 
 
-def _history_dropped(present: int) -> errors.GoneError:
-    return errors.GoneError('further back than the history kept', rev=present)
+def _history_dropped(current: int) -> errors.GoneError:
+    return errors.GoneError('further back than the history kept', rev=current)
--- a/zinctrail/control/singleton_roles.py
+++ b/zinctrail/control/singleton_roles.py
@@ -38,11 +38,11 @@
         for key in txn.items(TABLE):
             if key.removeprefix(LEDGER_OWNER_PREFIX) not in pools:
                 txn.drop(TABLE, key)
-        staying = {node: row for node, row in directories.items() if not row.get('leaving')}
+        active = {node: row for node, row in directories.items() if not row.get('leaving')}
         for pool in sorted(pools):
             role = txn.get(TABLE, LEDGER_OWNER_PREFIX + pool)
-            if role is None or role['holder'] not in (staying or directories):
-                self._place_ledger(txn, pool, role, directories, staying)
+            if role is None or role['holder'] not in (active or directories):
+                self._place_ledger(txn, pool, role, directories, active)
 
     def _place_ledger(
         self,
@@ -50,13 +50,13 @@
         pool: str,
         role: rows.SingletonRoleRow | None,
         directories: dict[str, rows.MemberRow],
-        staying: dict[str, rows.MemberRow],
+        active: dict[str, rows.MemberRow],
     ) -> None:
-        """Assign an owner to a pool's ledger; `staying` are the directories that are not shutting down."""
+        """Assign an owner to a pool's ledger; `active` are the directories that are not shutting down."""
         zones = txn.items('cells')
         candidates = [
-            node for node, row in staying.items() if not (zones.get(row['cell']) or {}).get('evacuated')
-        ] or list(staying)
+            node for node, row in active.items() if not (zones.get(row['cell']) or {}).get('evacuated')
+        ] or list(active)
         if not candidates:
             return
         # An owner that shuts down names its successor, to which it hands over the ledger.
--- a/zinctrail/control/version_contents.py
+++ b/zinctrail/control/version_contents.py
@@ -71,13 +71,13 @@
         txn.put(TABLE, COMPLETE, True)
 
 
-def remembered(txn: transactions.Transaction, key: str, version: int) -> str | None:
+def stored_digest(txn: transactions.Transaction, key: str, version: int) -> str | None:
     """Return the digest of a superseded version's content, or None."""
     row = txn.get(TABLE, _row_key(key, version))
     return row[0] if row else None
 
 
-def remember(txn: transactions.Transaction, key: str, version: int, content: str) -> None:
+def store_digest(txn: transactions.Transaction, key: str, version: int, content: str) -> None:
     """Store the digest of a content that is not in force."""
     epoch = txn.get('meta', 'epoch') or 0
     txn.put(TABLE, _row_key(key, version), [content, epoch])
--- a/zinctrail/control/watches.py
+++ b/zinctrail/control/watches.py
@@ -32,9 +32,9 @@
     operation: str
     arguments: dict
     callback: replies.Callback
-    until: datetime.timedelta
+    deadline: datetime.timedelta
 
-    def is_awaitable(self) -> bool:
+    def waits_for_events(self) -> bool:
         """True if the watch waits for events; a watch of registers without a revision only asks for the current one."""
         return self.operation == KEY_WATCH or bool(self.arguments.get('since'))
 
@@ -69,8 +69,8 @@
 
     def _respond_or_wait(self, watch: Watch, result: replies.Result) -> None:
         has_events = result['status'] != 200 or result['events']
-        is_overdue = self.controller.now >= watch.until
-        if has_events or is_overdue or not self.controller.is_leader or not watch.is_awaitable():
+        is_overdue = self.controller.now >= watch.deadline
+        if has_events or is_overdue or not self.controller.is_leader or not watch.waits_for_events():
             watch.callback(result)
             return
         if watch.operation == KEY_WATCH:
@@ -99,8 +99,8 @@
     def respond_to_overdue(self) -> None:
         """Respond to the watches that have timed out, with the events so far."""
         now = self.controller.now
-        overdue = [watch for watch in self.waiting if watch.until <= now]
-        self.waiting = [watch for watch in self.waiting if watch.until > now]
+        overdue = [watch for watch in self.waiting if watch.deadline <= now]
+        self.waiting = [watch for watch in self.waiting if watch.deadline > now]
         for watch in overdue:
             self.controller.read(self._reader(watch), watch.callback)
 
--- a/zinctrail/directory/credit_ledger.py
+++ b/zinctrail/directory/credit_ledger.py
@@ -42,7 +42,7 @@
     """One proxy's share of a pool's credit."""
 
     # An upper bound of the credit that the proxy may use under any grant that has not expired.
-    granted_at_most: Credit = dataclasses.field(default_factory=dict)
+    max_granted: Credit = dataclasses.field(default_factory=dict)
     in_use: Credit = dataclasses.field(default_factory=dict)
     wanted: dict[str, int] = dataclasses.field(default_factory=dict)
     is_idle: bool = False
@@ -55,10 +55,10 @@
 
     def reserved(self, incarnation: str) -> int:
         """Return the credit at an endpoint that cannot be granted to another proxy."""
-        return max(self.granted_at_most.get(incarnation, 0), self.in_use.get(incarnation, 0))
+        return max(self.max_granted.get(incarnation, 0), self.in_use.get(incarnation, 0))
 
 
-def _larger_of_each(one: Credit, other: Credit) -> Credit:
+def _elementwise_max(one: Credit, other: Credit) -> Credit:
     return {key: max(one.get(key, 0), other.get(key, 0)) for key in {**one, **other}}
 
 
@@ -85,7 +85,7 @@
     def record_report(self, now: datetime.timedelta, proxy: str, granted: Credit, in_use: Credit) -> None:
         """Record the credit that a proxy holds under grants of the former owner."""
         allocation = self.allocations.setdefault(proxy, Allocation())
-        allocation.granted_at_most = dict(granted)
+        allocation.max_granted = dict(granted)
         allocation.last_grant = dict(granted)
         allocation.in_use = dict(in_use)
         allocation.expires_at = now + self.settings.credit
@@ -99,7 +99,7 @@
         """Export the ledger for the next owner, so that it does not have to collect reports."""
         return {
             proxy: [
-                {i: allocation.reserved(i) for i in {**allocation.granted_at_most, **allocation.in_use}},
+                {i: allocation.reserved(i) for i in {**allocation.max_granted, **allocation.in_use}},
                 allocation.in_use,
             ]
             for proxy, allocation in self.allocations.items()
@@ -122,16 +122,16 @@
         self._expire(now)
         allocation = self.allocations.setdefault(proxy, Allocation())
         if demand.applied_sequence == allocation.sequence:
-            allocation.granted_at_most = dict(allocation.last_grant)
+            allocation.max_granted = dict(allocation.last_grant)
         else:
-            allocation.granted_at_most = _larger_of_each(allocation.granted_at_most, allocation.last_grant)
+            allocation.max_granted = _elementwise_max(allocation.max_granted, allocation.last_grant)
         allocation.in_use, allocation.wanted, allocation.is_idle = demand.in_use, demand.wanted, demand.is_idle
         self.load.update(demand.load)
         credit = self._allocate(proxy, allocation, routes)
         allocation.sequence += 1
         allocation.last_grant = credit
         # Until the proxy confirms that it applied the new grant, it may still use the old one.
-        allocation.granted_at_most = _larger_of_each(allocation.granted_at_most, credit)
+        allocation.max_granted = _elementwise_max(allocation.max_granted, credit)
         allocation.expires_at = now + self.settings.credit
         return credit
 
@@ -139,11 +139,11 @@
         for proxy, allocation in list(self.allocations.items()):
             if allocation.expires_at > now:
                 continue
-            # Requests that were sent under an expired grant stay in flight for a while, so they count for another lease.
+            # Requests that were sent under an expired grant stay in flight for a while and count for another lease.
             if allocation.expires_at + self.settings.credit <= now or not allocation.in_use:
                 del self.allocations[proxy]
             else:
-                allocation.granted_at_most = {}
+                allocation.max_granted = {}
 
     def _capacity(self, incarnation: str, routes: routing_table.RoutingTable) -> int:
         capacity = routes.capacity(incarnation, self.pool)
@@ -191,18 +191,18 @@
         capacity = {i: self._capacity(i, routes) for i in endpoints}
         target = _fair_share(wanted, wanted_of_others, sum(capacity.values()))
 
-        def fullness(incarnation: str) -> tuple[float, str]:
+        def utilization(incarnation: str) -> tuple[float, str]:
             used = credit.get(incarnation, 0) + capacity[incarnation] - free[incarnation]
             return used / capacity[incarnation], incarnation
 
         granted = sum(credit.get(i, 0) for i in endpoints)
         while granted < target:
-            with_room = [i for i in endpoints if credit.get(i, 0) < free[i]]
-            if not with_room:
+            with_free_credit = [i for i in endpoints if credit.get(i, 0) < free[i]]
+            if not with_free_credit:
                 break
             # The endpoint with the lowest utilization is next, so that requests spread over the pool.
-            emptiest = min(with_room, key=fullness)
-            credit[emptiest] = credit.get(emptiest, 0) + 1
+            least_utilized = min(with_free_credit, key=utilization)
+            credit[least_utilized] = credit.get(least_utilized, 0) + 1
             granted += 1
         return granted >= target
 
--- a/zinctrail/directory/daemon.py
+++ b/zinctrail/directory/daemon.py
@@ -39,7 +39,7 @@
         self.ledgers: dict[str, credit_ledger.CreditLedger] = {}
         # The ledgers that former owners handed over before this directory learned that it owns the pool:
         # {pool: (fencing token, exported ledger)}.
-        self.handed_over: dict[str, tuple[int, credit_ledger.ExportedLedger]] = {}
+        self.pending_handovers: dict[str, tuple[int, credit_ledger.ExportedLedger]] = {}
 
     def pages(self) -> dict[tuple[str, str], http_api.Page]:
         """Return the pages of proxy lookup."""
@@ -90,8 +90,8 @@
     def _take_over_ledger(self, pool: str, fencing_token: int, proxies: dict[str, rows.MemberRow]) -> None:
         ledger = self.ledgers[pool] = credit_ledger.CreditLedger(pool, fencing_token, self.settings)
         ledger.start_collecting(self.now, proxies)
-        if pool in self.handed_over and self.handed_over[pool][0] == fencing_token:
-            ledger.import_from(self.now, self.handed_over.pop(pool)[1])
+        if pool in self.pending_handovers and self.pending_handovers[pool][0] == fencing_token:
+            ledger.import_from(self.now, self.pending_handovers.pop(pool)[1])
         self.log(
             f'Owns the credit ledger of pool {pool} under fencing token {fencing_token}.',
             'keep',
@@ -115,7 +115,7 @@
         if ledger and ledger.fencing_token == message.fencing_token:
             ledger.import_from(self.now, message.ledger)
         else:
-            self.handed_over[message.pool] = (message.fencing_token, message.ledger)
+            self.pending_handovers[message.pool] = (message.fencing_token, message.ledger)
 
     def on_credit_held(self, message: traffic_messages.CreditHeld) -> None:
         """Record a proxy's report of its credit, which was requested after a takeover."""
@@ -193,5 +193,5 @@
             'fence': ledger.fencing_token,
             'holders': len(ledger.allocations),
             'ready': ledger.is_ready(self.now),
-            'held': sum(sum(a.granted_at_most.values()) for a in ledger.allocations.values()),
+            'held': sum(sum(a.max_granted.values()) for a in ledger.allocations.values()),
         }
