--- a/zinctrail/control/claims.py
+++ b/zinctrail/control/claims.py
@@ -68,10 +68,10 @@
         controller = self.controller
         request_id = args.get('id')
         if isinstance(request_id, str) and controller.request_sampler.is_sampled(request_id):
-            callback = self._logged(request_id, args, callback)
+            callback = self._with_logging(request_id, args, callback)
         controller.submit(lambda txn: claim(controller, txn, args), callback, for_caller=True)
 
-    def _logged(self, request_id: str, args: dict, callback: replies.Callback) -> replies.Callback:
+    def _with_logging(self, request_id: str, args: dict, callback: replies.Callback) -> replies.Callback:
         def log_and_respond(result: replies.Result) -> None:
             outcome = result.get('got') or result['status']
             self.controller.log(
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -152,9 +152,9 @@
         """Handle the disconnection of the caller of an HTTP call."""
         self.http_api.client_disconnected(call_id)
 
-    def take_heartbeat(self, body: dict, respond: replies.Callback):
+    def receive_heartbeat(self, body: dict, respond: replies.Callback):
         """Handle an endpoint's heartbeat that was sent to this node."""
-        self.endpoint_registry.take_heartbeat(body, respond)
+        self.endpoint_registry.receive_heartbeat(body, respond)
 
     def heartbeat_details(self):
         """Return what this node adds to its heartbeat response: the endpoints whose heartbeats it received."""
@@ -196,18 +196,18 @@
 
     # -- recovery ---------------------------------------------------------
 
-    def take_recovery(self, body):
+    def start_recovery(self, body):
         """Start a new cluster from replicas of a lost one, at an operator's command (recovery.py)."""
         if not self.is_empty() or self.disk_failed or self.stopping:
             raise errors.ConflictError('is no empty control node')
         cluster = uuid.UUID(int=self.rng.getrandbits(128), version=4).hex
-        start = recovery.initial_state(body, cluster, self.node, self.member())
+        initial = recovery.initial_state(body, cluster, self.node, self.member())
         self.log(f'Recovering cluster {body["cluster"]} as new cluster {cluster} from generation {body["generation"]}.')
         self.cluster_replacement.begin(
             cluster,
             body['term'] + recovery.TERMS_SKIPPED,
-            start.generation,
-            start.tables,
-            start.tables['meta']['known'],
+            initial.generation,
+            initial.tables,
+            initial.tables['meta']['known'],
         )
-        return replies.ok(cluster=cluster, generation=start.generation)
+        return replies.ok(cluster=cluster, generation=initial.generation)
--- a/zinctrail/control/endpoint_health_checks.py
+++ b/zinctrail/control/endpoint_health_checks.py
@@ -18,7 +18,7 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
 
-# The health check path of an endpoint that does not use our client library, unless its pool sets another path.
+# The health check path of an endpoint that does not use the zinctrail library, unless its pool sets another path.
 DEFAULT_HEALTH_PATH = '/health'
 LIBRARY_HEALTH_PATH = '/zt/live'
 # A control node counts as reachable if its last response is no older than this many heartbeat intervals.
@@ -53,7 +53,7 @@
     """A health check that this node is making."""
 
     incarnation: str
-    # Whether the endpoint does not use our client library.
+    # Whether the endpoint does not use the zinctrail library.
     is_plain: bool
     callback: collections.abc.Callable[[HealthCheckResult], None]
 
@@ -150,7 +150,7 @@
             self._drop_endpoint(incarnation)
 
     def _sends_plain_heartbeats(self, incarnation: str) -> bool:
-        """True if an endpoint without our client library still sends heartbeats.
+        """True if an endpoint without the zinctrail library still sends heartbeats.
 
         A health check needs a free slot at such an endpoint, so that a saturated
         endpoint responds as little as a dead one.
--- a/zinctrail/control/endpoint_registry.py
+++ b/zinctrail/control/endpoint_registry.py
@@ -52,7 +52,7 @@
 
     # -- heartbeats received by a follower --------------------------------
 
-    def take_heartbeat(self, heartbeat: dict, respond: replies.Callback) -> None:
+    def receive_heartbeat(self, heartbeat: dict, respond: replies.Callback) -> None:
         """Handle a heartbeat sent to this node; a follower forwards it to the leader only if it reports a change."""
         heartbeats.check(heartbeat)
         controller = self.controller
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -29,13 +29,13 @@
 WARM_UP_ASSUMED = 2
 MAX_ZONE_LENGTH = 300
 RETRY_MS = 200
-RETRY_UNREAD_MS = 300
+RETRY_FAILED_READ_MS = 300
 
 
 # -- within a transaction of the leader ---------------------------------------
 
 
-def read_number(txn: transactions.Transaction, args: dict) -> replies.Result:
+def read_command_number(txn: transactions.Transaction, args: dict) -> replies.Result:
     """Return the number that the next command on a zone must be based on: operation `cell.order` {cell}."""
     return replies.ok(number=_commands(txn, _zone(args))['number'])
 
@@ -124,9 +124,9 @@
         """Serve operation `cell.empty`."""
         self.controller.submit(lambda txn: apply(txn, args), callback, for_caller=True)
 
-    def serve_number(self, args: dict, callback: replies.Callback) -> None:
+    def serve_command_number(self, args: dict, callback: replies.Callback) -> None:
         """Serve operation `cell.order`."""
-        self.controller.read(lambda view: read_number(view, args), callback)
+        self.controller.read(lambda view: read_command_number(view, args), callback)
 
 
 # -- at the node that received the call ---------------------------------------
@@ -196,7 +196,7 @@
             self._request('cell.empty', self.command, self.respond)
         elif result['status'] == 504:
             # The result is unknown, but only a read was requested, so nothing was changed.
-            self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
+            self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_FAILED_READ_MS))
         else:
             self.respond(result)
 
--- a/zinctrail/control/heartbeats.py
+++ b/zinctrail/control/heartbeats.py
@@ -2,7 +2,7 @@
 
 A heartbeat is {inc, addr, service, cell, slots, state} with labels, cold,
 pressure, seq and cold_ms optional (docs/interface.md). An endpoint that does not
-use our client library numbers its heartbeats (`seq`) and reports the remaining
+use the zinctrail library numbers its heartbeats (`seq`) and reports the remaining
 milliseconds of its warm-up (`cold_ms`) instead of the remaining share (`cold`).
 """
 
--- a/zinctrail/control/http_api.py
+++ b/zinctrail/control/http_api.py
@@ -76,7 +76,7 @@
     def status(self) -> dict[str, typing.Any]:
         """Return the status of this process from its own view."""
 
-    def take_heartbeat(self, body: dict, respond: replies.Callback) -> None:
+    def receive_heartbeat(self, body: dict, respond: replies.Callback) -> None:
         """Handle an endpoint's heartbeat that was sent to this node."""
 
     def request_operation(
@@ -252,7 +252,7 @@
     if member.role != member_roles.CONTROL_NODE:
         raise errors.ConflictError('is no control node')
     recovery.check(body)
-    respond(member.take_recovery(body))
+    respond(member.start_recovery(body))
 
 
 # -- configuration ------------------------------------------------------------
@@ -305,7 +305,7 @@
 @page('POST', '/v1/beat')
 def page_heartbeat(member: ServingMember, call: effects.HttpRequest, body: dict, respond: replies.Callback) -> None:
     """Handle an endpoint's heartbeat."""
-    member.take_heartbeat(body, respond)
+    member.receive_heartbeat(body, respond)
 
 
 @page('POST', '/v1/leave')
--- a/zinctrail/control/leader_operations.py
+++ b/zinctrail/control/leader_operations.py
@@ -43,7 +43,7 @@
     'items.apply': lambda controller: controller.configuration_changes.serve_items,
     'items.get': lambda controller: controller.configuration_changes.serve_items_get,
     'cell.empty': lambda controller: controller.evacuation_service.serve_evacuation,
-    'cell.order': lambda controller: controller.evacuation_service.serve_number,
+    'cell.order': lambda controller: controller.evacuation_service.serve_command_number,
     'config.apply': lambda controller: controller.configuration_changes.serve_apply,
     'config.get': lambda controller: controller.configuration_changes.serve_get,
     'config.check': lambda controller: controller.configuration_changes.serve_check,
--- a/zinctrail/control/outlier_detection.py
+++ b/zinctrail/control/outlier_detection.py
@@ -73,11 +73,11 @@
         self._drop_expired(now, endpoints)
         ejected = {i for i, ejection in self.ejections.items() if ejection.ends_at > now}
         outliers = self._outliers(ejected, proxies)
-        sizes = collections.Counter(endpoint['service'] for endpoint in endpoints.values())
+        service_sizes = collections.Counter(endpoint['service'] for endpoint in endpoints.values())
         ejected_of_service = collections.Counter(endpoints[i]['service'] for i in ejected)
         for _, incarnation in sorted(outliers):
             service = endpoints[incarnation]['service']
-            if ejected_of_service[service] >= sizes[service] // ENDPOINTS_PER_EJECTION:
+            if ejected_of_service[service] >= service_sizes[service] // ENDPOINTS_PER_EJECTION:
                 continue
             ejected_of_service[service] += 1
             self._eject(now, incarnation)
--- a/zinctrail/control/rows.py
+++ b/zinctrail/control/rows.py
@@ -30,7 +30,7 @@
     cold: int
     # The heartbeat's sequence number; only of endpoints that number their heartbeats.
     seq: typing.NotRequired[int]
-    # Whether it does not use our client library: it numbers its heartbeats and keeps its incarnation when it returns.
+    # Whether it does not use the zinctrail library: it numbers its heartbeats, and keeps its incarnation on return.
     plain: typing.NotRequired[bool]
     # Whether a plain endpoint is warming up: 0 no, 1 yes, 2 yes until two of its heartbeats have reported otherwise.
     chill: typing.NotRequired[int]
@@ -84,7 +84,7 @@
     p: str
     # The number of the attempt that the claim is for, from 1.
     a: int
-    # A nonce by which a retry of the same claim is recognized.
+    # A unique nonce by which the claim's owner is recognized.
     n: str
     # The proxy's IP:PORT for frames.
     at: str
--- a/zinctrail/directory/daemon.py
+++ b/zinctrail/directory/daemon.py
@@ -62,7 +62,7 @@
         """Handle the disconnection of the caller of an HTTP call."""
         self.http_api.client_disconnected(call_id)
 
-    def take_heartbeat(self, body: dict, respond: replies.Callback) -> None:
+    def receive_heartbeat(self, body: dict, respond: replies.Callback) -> None:
         """Forward an endpoint's heartbeat to the leader, since a directory has no endpoint registry."""
         self.request_operation('beat', body, respond)
 
