--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -433,7 +433,7 @@
         """True if executing an operation twice differs from executing it once."""
         return True
 
-    def is_repeatable(self, operation: str, arguments: operations.Arguments) -> bool:
+    def is_retryable(self, operation: str, arguments: operations.Arguments) -> bool:
         """True if the operation may be executed again, even after other changes, with the effect of one execution."""
         return False
 
--- a/zinctrail/control/claims.py
+++ b/zinctrail/control/claims.py
@@ -1,4 +1,4 @@
-"""Claims: which proxy may run a request id, decided once for all proxies.
+"""Claims: grant one proxy the right to execute a request id, so that it is executed at most once.
 
 The rows: rows.ClaimRow, in table `claims`. docs/notes/at-most-once.md
 """
@@ -17,34 +17,35 @@
 
 
 def claim(controller: controller_part.ControlNode, txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `claim` {id, nonce, proxy, at, attempt}: `got` says what became of it.
+    """Carry out operation `claim` {id, nonce, proxy, at, attempt}; `got` in the result is its outcome.
 
-    'claimed': the caller may run the request; 'taken': another claim holds, its
-    row follows; 'closed': this very claim was closed before; 'old': the id's epoch
-    is past its retention, so that nobody can say any more that it never ran.
+    'claimed': the caller may execute the request; 'taken': another claim is in
+    force, and the result describes it; 'closed': this same claim was closed before;
+    'old': the retention of the id's epoch has ended, so it can no longer be ruled
+    out that the request was executed before.
     """
     request_id, nonce, proxy, address = (arguments.text(args, key) for key in ('id', 'nonce', 'proxy', 'at'))
     attempt = arguments.whole_number(args, 'attempt', 1, MAX_ATTEMPTS)
     epoch = txn.get('meta', 'epoch') or 0
-    made_in = epoch_of(request_id)
-    if made_in is None or made_in > epoch:
+    id_epoch = epoch_of(request_id)
+    if id_epoch is None or id_epoch > epoch:
         raise errors.BadRequestError(f'request id must begin with an epoch that has begun (now {epoch}) and a dot')
-    if made_in <= epoch - controller.settings.epochs_kept:
+    if id_epoch <= epoch - controller.settings.epochs_kept:
         return replies.ok(got='old')
     row: rows.ClaimRow | None = txn.get(TABLE, request_id)
     if row:
-        is_free_again = row['s'] == CLOSED and attempt > row['a']
-        if row['n'] != nonce and not is_free_again:
+        may_claim_again = row['s'] == CLOSED and attempt > row['a']
+        if row['n'] != nonce and not may_claim_again:
             return replies.ok(got='taken', by=row['p'], at=row['at'], state=row['s'], attempt=row['a'])
         if row['n'] == nonce and row['s'] == CLOSED:
             return replies.ok(got='closed')
-    new: rows.ClaimRow = {'p': proxy, 'a': attempt, 'n': nonce, 'at': address, 's': OPEN, 'epoch': made_in}
+    new: rows.ClaimRow = {'p': proxy, 'a': attempt, 'n': nonce, 'at': address, 's': OPEN, 'epoch': id_epoch}
     txn.put(TABLE, request_id, new)
     return replies.ok(got='claimed')
 
 
 def close(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `close` {id, nonce}: the claim's owner did not run the request and never will under this claim."""
+    """Close a claim (operation `close` {id, nonce}): its owner has not executed the request and never will under it."""
     request_id, nonce = arguments.text(args, 'id'), arguments.text(args, 'nonce')
     row: rows.ClaimRow | None = txn.get(TABLE, request_id)
     if row is None or row['n'] != nonce:
@@ -54,27 +55,27 @@
 
 
 def epoch_of(request_id: str) -> int | None:
-    """The epoch that a request id begins with; None for an id that claims don't know."""
+    """Return the epoch that a request id begins with; None if the id is not of the form EPOCH.UNIQUE."""
     digits, dot, rest = request_id.partition('.')
     return arguments.epoch_number(digits) if dot and rest else None
 
 
 class ClaimService(controller_part.ControllerPart):
-    """Operations `claim` and `close`, with a log line for sampled requests."""
+    """Serves operations `claim` and `close`, and logs the claims of sampled requests."""
 
     def serve_claim(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `claim`."""
+        """Serve operation `claim`."""
         controller = self.controller
         request_id = args.get('id')
         if isinstance(request_id, str) and controller.request_sampler.is_sampled(request_id):
-            callback = self._logged(request_id, args, callback)
+            callback = self._with_logging(request_id, args, callback)
         controller.submit(lambda txn: claim(controller, txn, args), callback, for_caller=True)
 
-    def _logged(self, request_id: str, args: dict, callback: replies.Callback) -> replies.Callback:
-        def log_and_answer(result: replies.Result) -> None:
+    def _with_logging(self, request_id: str, args: dict, callback: replies.Callback) -> replies.Callback:
+        def log_and_respond(result: replies.Result) -> None:
             outcome = result.get('got') or result['status']
             self.controller.log(
-                f'Claim of {request_id:.200}: {outcome}.',
+                f'Claim for request {request_id:.200}: {outcome}.',
                 'claim',
                 id=request_id,
                 outcome=outcome,
@@ -82,8 +83,8 @@
             )
             callback(result)
 
-        return log_and_answer
+        return log_and_respond
 
     def serve_close(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `close`."""
+        """Serve operation `close`."""
         self.controller.submit(lambda txn: close(txn, args), callback, for_caller=True)
--- a/zinctrail/control/cluster_status.py
+++ b/zinctrail/control/cluster_status.py
@@ -1,4 +1,4 @@
-"""The status of the cluster, as its leader knows it (`zinctrailctl status`)."""
+"""The status of the cluster as its leader sees it (`zinctrailctl status`)."""
 
 import typing
 
@@ -11,27 +11,27 @@
 
 
 class Margins(typing.TypedDict):
-    """How near bounds are: a member without a lease stops, and a claim is dropped after `epochs_kept`."""
+    """The distance to limits: a member whose lease expires stops serving; claims are dropped after `epochs_kept`."""
 
-    # For how long the newest routes have not been applied by every member.
+    # How long the newest routes have not been applied by every member.
     unapplied_ms: int
-    # The least that is left of a member's lease.
+    # The shortest remaining lease of any member.
     least_lease_ms: int
     # The age of the oldest claim, in epochs.
     oldest_claim_epochs: int
 
 
 class ClusterStatus(controller_part.ControllerPart):
-    """Operation `status`."""
+    """Serves operation `status`."""
 
     def serve_status(self, args: dict, callback: replies.Callback) -> None:
-        """Answer the cluster's status, once a quorum has confirmed that this node still leads."""
+        """Return the cluster's status once a quorum has confirmed that this node is still the leader."""
         controller = self.controller
         state = controller.status()
         replica = controller.replica
         state['endpoints'] = {
             incarnation: dict(
-                row, beat_ms=durations.to_ms(controller.now - controller.endpoint_registry.last_heard(incarnation))
+                row, beat_ms=durations.to_ms(controller.now - controller.endpoint_registry.last_seen_at(incarnation))
             )
             for incarnation, row in replica.get('endpoints').items()
         }
@@ -48,11 +48,11 @@
         controller = self.controller
         followers = [peer for peer in controller.peers.values() if peer.role != member_roles.CONTROL_NODE]
         behind = [peer.last_seen_at for peer in followers if peer.committed[1] < routes_generation]
-        answered = [peer.last_seen_at for peer in followers]
+        responded_at = [peer.last_seen_at for peer in followers]
         claim_epochs = [claim['epoch'] for claim in controller.replica.get('claims').values()]
         lease = controller.settings.lease
         return {
             'unapplied_ms': durations.to_ms(controller.now - min(behind)) if behind else 0,
-            'least_lease_ms': durations.to_ms(lease - (controller.now - min(answered))) if answered else 0,
+            'least_lease_ms': durations.to_ms(lease - (controller.now - min(responded_at))) if responded_at else 0,
             'oldest_claim_epochs': epoch - min(claim_epochs) if claim_epochs else 0,
         }
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -1,10 +1,10 @@
-"""Evacuations of zones and their withdrawals: each order acts once, and none after a newer one was acknowledged.
+"""Commands that evacuate zones or end evacuations: each acts once, and none after a newer one was acknowledged.
 
-An evacuation carries nothing that orders it among others. So the node that
-received the call first reads the zone's order number from the leader, and the
-order then acts only on that number; each order that is acknowledged raises it,
-also one that changes nothing. Copies of an order that are still on their way
-find a higher number. The rows: rows.EvacuationOrderRow, kept by voters alone.
+A command carries no version of its own. The node that received the call therefore
+first reads the zone's command number from the leader, and the command then takes
+effect only at that number (compare-and-set); each acknowledged command raises the
+number, even if it changes nothing. Delayed copies of a command find a higher
+number. The rows: rows.EvacuationCommandRow, stored by voters only.
 docs/notes/worst-days/orders.md
 """
 
@@ -23,63 +23,63 @@
 
 TABLE = 'cell_orders'
 ZONES_TABLE = 'cells'
-# How many orders on a zone are taken within an epoch; further ones are refused, so that all that were taken are known.
-MAX_IDS = 512
-# EndpointRow.chill of an endpoint that counts as cold until two heartbeats of its own have said otherwise.
-CHILLED = 2
+# How many commands on a zone are accepted per epoch; further ones are refused, so that all accepted ids are stored.
+MAX_COMMAND_IDS = 512
+# EndpointRow.chill of an endpoint that counts as warming up until two of its heartbeats have reported otherwise.
+WARM_UP_ASSUMED = 2
 MAX_ZONE_LENGTH = 300
 RETRY_MS = 200
-RETRY_UNREAD_MS = 300
+RETRY_FAILED_READ_MS = 300
 
 
 # -- within a transaction of the leader ---------------------------------------
 
 
-def read_number(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `cell.order` {cell}: the number that the next order on a zone has to be based on."""
-    return replies.ok(number=_order(txn, _zone(args))['number'])
+def read_command_number(txn: transactions.Transaction, args: dict) -> replies.Result:
+    """Return the number that the next command on a zone must be based on: operation `cell.order` {cell}."""
+    return replies.ok(number=_commands(txn, _zone(args))['number'])
 
 
 def apply(txn: transactions.Transaction, args: dict) -> replies.Result:
-    """Operation `cell.empty` {cell, on, id, number}: send no requests to a zone's endpoints, or take that back.
+    """Evacuate a zone's endpoints, or end the evacuation: operation `cell.empty` {cell, on, id, number}.
 
-    The zone's proxies go on. 409 with the present number if another order was
-    acknowledged since `number` was read.
+    An evacuated zone's endpoints get no requests; its proxies keep serving. 409 with
+    the current number if another command was acknowledged since `number` was read.
     """
     zone, is_evacuation = _zone(args), args.get('on')
     if not isinstance(is_evacuation, bool):
         raise errors.BadRequestError('on must be true or false')
-    order = _order(txn, zone)
-    ids, earlier_ids = order['ids'], order.get('past', [])
+    commands = _commands(txn, zone)
+    ids, earlier_ids = commands['ids'], commands.get('past', [])
     # Nodes of earlier releases send neither an id nor a number.
     if 'id' in args:
-        order_id = arguments.text(args, 'id')
-        if order_id in ids or order_id in earlier_ids:
+        command_id = arguments.text(args, 'id')
+        if command_id in ids or command_id in earlier_ids:
             return replies.ok()
         number = arguments.whole_number(args, 'number', 0, arguments.MAX_EXACT_INTEGER, 0)
-        # Orders that race for the same end need not wait for each other: at this moment it is as they want it.
-        if number != order['number'] and _is_emptied(txn, zone) != is_evacuation:
-            raise errors.ConflictError('another order on this cell was acknowledged first', number=order['number'])
-        if len(ids) >= MAX_IDS:
+        # Concurrent commands for the same outcome do not conflict: the zone is already in the state that they ask for.
+        if number != commands['number'] and _is_emptied(txn, zone) != is_evacuation:
+            raise errors.ConflictError('another order on this cell was acknowledged first', number=commands['number'])
+        if len(ids) >= MAX_COMMAND_IDS:
             raise errors.UnavailableError('too many orders on this cell', retry_ms=RETRY_MS)
-        ids = [*ids, order_id]
-    txn.put(TABLE, zone, _order_row(order['number'] + 1, ids, earlier_ids))
+        ids = [*ids, command_id]
+    txn.put(TABLE, zone, _commands_row(commands['number'] + 1, ids, earlier_ids))
     _set_emptied(txn, zone, is_evacuation)
     return replies.ok()
 
 
-def forget_old_ids(txn: transactions.Transaction) -> None:
-    """At the begin of an epoch, forget the orders that were taken before the epoch that has ended.
+def drop_old_ids(txn: transactions.Transaction) -> None:
+    """Drop the ids of commands accepted before the epoch that has just ended; called when an epoch starts.
 
-    So each is known for an epoch at least, which is longer than a call is sent again for (setting `call`).
+    Each id is thus stored for at least an epoch, which is longer than a call is retried (setting `call`).
     """
-    for zone, order in txn.items(TABLE).items():
-        if order['ids'] or order.get('past'):
-            txn.put(TABLE, zone, _order_row(order['number'], [], order['ids']))
+    for zone, commands in txn.items(TABLE).items():
+        if commands['ids'] or commands.get('past'):
+            txn.put(TABLE, zone, _commands_row(commands['number'], [], commands['ids']))
 
 
-def _order_row(number: int, ids: list[str], earlier_ids: list[str]) -> rows.EvacuationOrderRow:
-    row: rows.EvacuationOrderRow = {'number': number, 'ids': ids}
+def _commands_row(number: int, ids: list[str], earlier_ids: list[str]) -> rows.EvacuationCommandRow:
+    row: rows.EvacuationCommandRow = {'number': number, 'ids': ids}
     if earlier_ids:
         row['past'] = earlier_ids
     return row
@@ -89,8 +89,8 @@
     return arguments.text(args, 'cell', MAX_ZONE_LENGTH)
 
 
-def _order(txn: transactions.Transaction, zone: str) -> rows.EvacuationOrderRow:
-    row: rows.EvacuationOrderRow | None = txn.get(TABLE, zone)
+def _commands(txn: transactions.Transaction, zone: str) -> rows.EvacuationCommandRow:
+    row: rows.EvacuationCommandRow | None = txn.get(TABLE, zone)
     return row if row is not None else {'number': 0, 'ids': []}
 
 
@@ -106,34 +106,34 @@
         row['emptied'] = True
     else:
         del row['emptied']
-        _mark_endpoints_cold(txn, zone)
+        _mark_endpoints_warming_up(txn, zone)
     txn.put(ZONES_TABLE, zone, row)
 
 
-def _mark_endpoints_cold(txn: transactions.Transaction, zone: str) -> None:
-    """They may have got cold while nobody sent them requests; their next heartbeats tell."""
+def _mark_endpoints_warming_up(txn: transactions.Transaction, zone: str) -> None:
+    """Mark a zone's endpoints as warming up: without requests they may have cooled down; their heartbeats will tell."""
     for incarnation, endpoint in txn.items('endpoints').items():
         if endpoint['cell'] == zone and endpoint.get('plain'):
-            txn.put('endpoints', incarnation, dict(endpoint, chill=CHILLED))
+            txn.put('endpoints', incarnation, dict(endpoint, chill=WARM_UP_ASSUMED))
 
 
 class EvacuationService(controller_part.ControllerPart):
-    """The operations that a leader does."""
+    """Serves the operations at the leader."""
 
-    def serve_order(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `cell.empty`."""
+    def serve_evacuation(self, args: dict, callback: replies.Callback) -> None:
+        """Serve operation `cell.empty`."""
         self.controller.submit(lambda txn: apply(txn, args), callback, for_caller=True)
 
-    def serve_number(self, args: dict, callback: replies.Callback) -> None:
-        """Operation `cell.order`."""
-        self.controller.read(lambda view: read_number(view, args), callback)
+    def serve_command_number(self, args: dict, callback: replies.Callback) -> None:
+        """Serve operation `cell.order`."""
+        self.controller.read(lambda view: read_command_number(view, args), callback)
 
 
 # -- at the node that received the call ---------------------------------------
 
 
 class CalledNode(typing.Protocol):
-    """What an order needs of the node that received the call."""
+    """The interface of the node that received the call."""
 
     now: datetime.timedelta
     rng: random.Random
@@ -141,70 +141,70 @@
 
 
 class WaitingCalls(typing.Protocol):
-    """The calls that wait at that node."""
+    """The calls that are pending at that node."""
 
-    def is_waiting(self, answer: replies.Callback) -> bool:
-        """Whether the caller still waits."""
+    def is_waiting(self, respond: replies.Callback) -> bool:
+        """True if the caller is still waiting."""
 
     def request_step(
         self,
-        answer: replies.Callback,
+        respond: replies.Callback,
         operation: str,
         args: dict,
         callback: replies.Callback,
         timeout: datetime.timedelta,
     ) -> None:
-        """Have the leader do one operation for the caller; `callback` gets its result."""
+        """Have the leader carry out one operation for the caller; `callback` gets its result."""
 
 
 class EvacuationCall:
-    """A caller's order on its way to the leader: reads the zone's number, then acts on it.
+    """Forwards a caller's command to the leader: reads the zone's command number, then sends the command with it.
 
-    Each step is taken only while the caller waits. A copy of the call that a
-    frozen node finds when it goes on does not act, once its caller is known to have gone.
+    Each step is taken only while the caller waits: a call that a frozen node still
+    holds when it resumes has no effect once its caller is known to have disconnected.
     """
 
-    def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, answer: replies.Callback):
+    def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, respond: replies.Callback):
         self.node = node
         self.calls = calls
-        self.order = {'cell': body.get('cell'), 'on': body.get('on')}
+        self.command = {'cell': body.get('cell'), 'on': body.get('on')}
         self.id = f'{node.rng.getrandbits(64):x}'
-        self.answer = answer
-        self.until = node.now + node.settings.call
+        self.respond = respond
+        self.deadline = node.now + node.settings.call
 
     def start(self) -> None:
-        """Take the first step."""
-        self._request('cell.order', {'cell': self.order['cell']}, self._number_read)
+        """Request the zone's command number."""
+        self._request('cell.order', {'cell': self.command['cell']}, self._receive_number)
 
     def _request(self, operation: str, args: dict, then: replies.Callback) -> None:
-        left = self.until - self.node.now
-        if left <= durations.ZERO:
-            self.answer(replies.refused(503, 'other orders on this cell came first', retry_ms=RETRY_MS))
+        remaining = self.deadline - self.node.now
+        if remaining <= durations.ZERO:
+            self.respond(replies.refused(503, 'other orders on this cell came first', retry_ms=RETRY_MS))
             return
 
         def receive(result: replies.Result) -> None:
-            if self.calls.is_waiting(self.answer):
+            if self.calls.is_waiting(self.respond):
                 then(result)
 
-        self.calls.request_step(self.answer, operation, args, receive, left)
+        self.calls.request_step(self.respond, operation, args, receive, remaining)
 
-    def _number_read(self, result: replies.Result) -> None:
+    def _receive_number(self, result: replies.Result) -> None:
         if result['status'] == 200:
-            self._act(result['number'])
+            self._send_command(result['number'])
         elif result['status'] == 404:
-            # A leader of an earlier release, which knows no numbers.
-            self._request('cell.empty', self.order, self.answer)
+            # A leader of an earlier release does not support command numbers.
+            self._request('cell.empty', self.command, self.respond)
         elif result['status'] == 504:
-            # The result is unknown, but only a read was requested, so that nothing was done.
-            self.answer(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_UNREAD_MS))
+            # The result is unknown, but only a read was requested, so nothing was changed.
+            self.respond(replies.refused(503, result.get('fault', ''), retry_ms=RETRY_FAILED_READ_MS))
         else:
-            self.answer(result)
+            self.respond(result)
 
-    def _act(self, number: int) -> None:
-        self._request('cell.empty', {**self.order, 'id': self.id, 'number': number}, self._acted)
+    def _send_command(self, number: int) -> None:
+        self._request('cell.empty', {**self.command, 'id': self.id, 'number': number}, self._receive_result)
 
-    def _acted(self, result: replies.Result) -> None:
+    def _receive_result(self, result: replies.Result) -> None:
         if result['status'] == 409 and 'number' in result:
-            self._act(result['number'])
+            self._send_command(result['number'])
         else:
-            self.answer(result)
+            self.respond(result)
