--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -217,7 +217,7 @@
 def proxy_that_queries_result(context):
     proxy = context.proxy = open_traffic_proxy.OpenTrafficProxy(1)
     call = effects.HttpRequest('GET', '/r/s/', {}, b'')
-    request = request_record.Request(1, call, proxy.now, pipeline.PASSES)
+    request = request_record.Request(1, call, proxy.now, pipeline.STAGES)
     request.id = '5.a'
     request.waiting_for = request_record.Waiting.OWNER
     proxy.machine.runner.requests[1] = request
--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -99,8 +99,8 @@
         request.is_charged = True
         return True
 
-    passes = [early if check is original else check for check in pipeline.PASSES]
-    return replaced(pipeline, 'PASSES', passes) + replaced(pipeline, 'check_retry_budget', early)
+    stages = [early if check is original else check for check in pipeline.STAGES]
+    return replaced(pipeline, 'STAGES', stages) + replaced(pipeline, 'check_retry_budget', early)
 
 
 def half_applied(transaction, document, base, original=configuration.apply):
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -57,7 +57,7 @@
 
 def swap(old, new):
     """Replace one pass of the pipeline."""
-    return off(open_pipeline, 'PASSES', [new if p is old else p for p in open_pipeline.PASSES])
+    return off(open_pipeline, 'STAGES', [new if p is old else p for p in open_pipeline.STAGES])
 
 
 def only_faults(rec, res):
@@ -160,14 +160,14 @@
 GUARDS = {
     'at most once': repeatable,
     'unknown outcomes': lambda: off(open_responses.OpenResponses, 'respond_refusal', not_run_at_all),
-    'whose answer it is': lambda: off(open_responses, 'fault_of', only_faults),
-    'whole answers': lambda: off(open_responses, 'fault_of', no_faults),
+    'whose answer it is': lambda: off(open_responses, 'response_error', only_faults),
+    'whole answers': lambda: off(open_responses, 'response_error', no_faults),
     'the id as it came': lambda: off(open_upstream.OpenUpstream, 'send', altered),
     # Resting as well, because an endpoint that refuses connections is left alone for longer than an address takes to be
     # reused.
     'naming the incarnation': lambda: (
         off(open_upstream.OpenUpstream, 'send', unnamed)
-        + off(open_upstream.OpenUpstream, 'rest_endpoint', lambda self, incarnation: None)
+        + off(open_upstream.OpenUpstream, 'back_off_endpoint', lambda self, incarnation: None)
     ),
     'publishing to proxies': lambda: (
         off(proxy_node.Proxy, 'applied', lambda self, rows: None)
--- a/features/support/open_traffic_proxy.py
+++ b/features/support/open_traffic_proxy.py
@@ -79,7 +79,7 @@
         location = node_location.NodeLocation(f'{address}:1', f'{address}:2', 'r/c', [], f'{address}:3')
         super().__init__(proxy_node.Proxy(location, settings.Settings(grace=GRACE), random.Random(seed)), START)
         self.machine.now = self.now
-        self.machine.retry_budgets.sharers = proxy_node.retry_budget.BudgetSharers(
+        self.machine.retry_budgets.proxy_counts = proxy_node.retry_budget.ProxyCountHistory(
             self.machine.settings, durations.ZERO
         )
         self.machine.lease_until = LEASE_END
--- a/features/support/scripted_endpoints.py
+++ b/features/support/scripted_endpoints.py
@@ -122,7 +122,7 @@
         self.machine = machine
         machine.now = clock.now()
         # Alone and long there, so that the shared bound on repeats lends it all of the allowance.
-        machine.retry_budgets.sharers = retry_budget.BudgetSharers(machine.settings, machine.now - ms(60000))
+        machine.retry_budgets.proxy_counts = retry_budget.ProxyCountHistory(machine.settings, machine.now - ms(60000))
         machine.lease_until = machine.now + ms(10**9)
         rows = [['members', 'm', dict(machine.member(), level=1)]]
         rows += [self.listen_as(f'e{index}') for index in range(endpoint_count)]
--- a/zinctrail/client/coordination.py
+++ b/zinctrail/client/coordination.py
@@ -89,7 +89,7 @@
                 min(attempt_timeout, deadline - sent_at),
             )
             if not response.fault:
-                status, document = _read(response)
+                status, document = _parse_response(response)
                 if status == 200:
                     return sent_at, document
                 if status not in RETRIED_STATUSES:
@@ -222,7 +222,7 @@
             yield self.client.call('POST', '/v1/lock/free', body, timeout)
 
 
-def _read(response: effects.HttpResult) -> tuple[int, Document]:
+def _parse_response(response: effects.HttpResult) -> tuple[int, Document]:
     """(status, JSON document) of a response; status 0 if it is not JSON."""
     try:
         return response.status, json.loads(response.body)
--- a/zinctrail/client/request_client.py
+++ b/zinctrail/client/request_client.py
@@ -33,7 +33,7 @@
 REQUEST_ID_BITS = 80
 
 
-class StandingAnswer(typing.TypedDict):
+class LookupResponse(typing.TypedDict):
     """A directory's answer to a lookup, as the HTTP interface names its fields."""
 
     # HTTP addresses of proxies to use in turn, and of further directories.
@@ -100,16 +100,16 @@
         self.clock = clock
         self.rng = rng or random.SystemRandom()
         # The last answer of a directory, and until when it is valid.
-        self.lookup_result: StandingAnswer | None = None
+        self.lookup_result: LookupResponse | None = None
         self.valid_until = durations.ZERO
-        self.sent_count = 0
+        self.attempt_count = 0
 
     def now(self) -> datetime.timedelta:
         """The time on the client's clock."""
         return datetime.timedelta(seconds=self.clock())
 
     @defer.inlineCallbacks
-    def lookup(self, timeout: datetime.timedelta) -> twisted_types.Steps[StandingAnswer | None]:
+    def lookup(self, timeout: datetime.timedelta) -> twisted_types.Steps[LookupResponse | None]:
         """The directory's answer: proxies and the present epoch; looked up again once invalid, None if nobody answers.
 
         `timeout` is for each directory.
@@ -120,7 +120,7 @@
         if self.zone:
             body['cell'] = self.zone
         for _ in range(len(self.directories)):
-            asked_at = self.now()
+            requested_at = self.now()
             response = yield self.fetcher.fetch(
                 'dir',
                 self.directories[0],
@@ -131,15 +131,15 @@
                 min(timeout, LOOKUP_TIMEOUT),
             )
             if response.status == 200 and not response.fault:
-                self._remember(json.loads(response.body), asked_at)
+                self._remember(json.loads(response.body), requested_at)
                 return self.lookup_result
             self.directories.append(self.directories.pop(0))
         return None
 
-    def _remember(self, result: StandingAnswer, asked_at: datetime.timedelta) -> None:
+    def _remember(self, result: LookupResponse, requested_at: datetime.timedelta) -> None:
         self.lookup_result = result
         # Counted from the question: the directory counts from later, so it becomes invalid here first.
-        self.valid_until = asked_at + durations.ms(result['ttl_ms'])
+        self.valid_until = requested_at + durations.ms(result['ttl_ms'])
         for directory in result['dirs']:
             if directory not in self.directories:
                 self.directories.append(directory)
@@ -161,15 +161,15 @@
         response = Response(NOT_RUN, 0, {}, b'', fault='no standing answer')
         attempt = 0
         while attempt < self.max_attempts and self.now() < request.deadline:
-            found = yield self.lookup(request.deadline - self.now())
-            if found is None:
-                left_seconds = max(0, (request.deadline - self.now()).total_seconds())
-                yield task.deferLater(self.reactor, min(LOOKUP_RETRY_SECONDS, left_seconds))
+            lookup_response = yield self.lookup(request.deadline - self.now())
+            if lookup_response is None:
+                remaining_seconds = max(0, (request.deadline - self.now()).total_seconds())
+                yield task.deferLater(self.reactor, min(LOOKUP_RETRY_SECONDS, remaining_seconds))
                 continue
-            request_id = request_id or f'{found["epoch"]}.{self.rng.getrandbits(REQUEST_ID_BITS):020x}'
+            request_id = request_id or f'{lookup_response["epoch"]}.{self.rng.getrandbits(REQUEST_ID_BITS):020x}'
             attempt += 1
             earlier_outcome = response.outcome
-            response = yield self._attempt(found, request, request_id, attempt)
+            response = yield self._attempt(lookup_response, request, request_id, attempt)
             # Once an attempt may have run, only a response that says so settles the request.
             if earlier_outcome == UNKNOWN and response.outcome == NOT_RUN:
                 response.outcome = UNKNOWN
@@ -185,20 +185,20 @@
 
     @defer.inlineCallbacks
     def _attempt(
-        self, found: StandingAnswer, request: Request, request_id: str, attempt: int
+        self, lookup_response: LookupResponse, request: Request, request_id: str, attempt: int
     ) -> twisted_types.Steps[Response]:
         """One attempt, through the next of the proxies that the directory named."""
-        self.sent_count += 1
-        proxy = found['proxies'][self.sent_count % len(found['proxies'])]
-        left = max(durations.ms(1), request.deadline - self.now())
+        self.attempt_count += 1
+        proxy = lookup_response['proxies'][self.attempt_count % len(lookup_response['proxies'])]
+        remaining = max(durations.ms(1), request.deadline - self.now())
         result = yield self.fetcher.fetch(
             proxy,
             proxy,
             request.method,
             f'/r/{request.service}{request.path}',
-            self._headers(request, request_id, attempt, left),
+            self._headers(request, request_id, attempt, remaining),
             request.body,
-            left,
+            remaining,
         )
         response = Response(
             result.headers.get('zt-outcome', UNKNOWN),
@@ -219,11 +219,13 @@
             self.valid_until = durations.ZERO
         return response
 
-    def _headers(self, request: Request, request_id: str, attempt: int, left: datetime.timedelta) -> dict[str, str]:
+    def _headers(
+        self, request: Request, request_id: str, attempt: int, remaining: datetime.timedelta
+    ) -> dict[str, str]:
         headers = {
             'zt-id': request_id,
             'zt-attempt': str(attempt),
-            'zt-left-ms': str(max(1, durations.to_ms(left))),
+            'zt-left-ms': str(max(1, durations.to_ms(remaining))),
             'content-type': 'application/json',
         }
         if self.home:
--- a/zinctrail/proxy/admission.py
+++ b/zinctrail/proxy/admission.py
@@ -9,10 +9,10 @@
 import zinctrail.runtime.parsing as parsing
 
 # Longer numbers in a header are refused before they are converted.
-DIGITS_MOST = 9
+MAX_DIGITS = 9
 
 
-def time_left_ms(headers: dict, subject: str) -> int | None:
+def remaining_time_ms(headers: dict, subject: str) -> int | None:
     """Milliseconds that the caller gives it, by `zt-left-ms`; None where it does not say.
 
     :param subject: how the refusal names the header.
@@ -20,7 +20,7 @@
     text = headers.get('zt-left-ms')
     if text is None:
         return None
-    if not parsing.is_whole(text) or len(text) > DIGITS_MOST:
+    if not parsing.is_whole(text) or len(text) > MAX_DIGITS:
         raise refusals.MalformedRequest(f'{subject} must be a whole number of milliseconds')
     return int(text)
 
--- a/zinctrail/proxy/at_most_once.py
+++ b/zinctrail/proxy/at_most_once.py
@@ -15,13 +15,13 @@
 
 Request = request_record.Request
 # Memory for kept results is bounded; an attempt whose result is forgotten is answered "unknown".
-KEPT_MOST = 20000
-KEPT_BYTES_MOST = 64 << 20
+MAX_STORED_RESULTS = 20000
+MAX_STORED_BYTES = 64 << 20
 RETRY_NO_CLAIM_MS = 500
 RETRY_CLAIM_CLOSED_MS = 200
 
 
-class KeptResponse(typing.NamedTuple):
+class StoredResponse(typing.NamedTuple):
     """The response that attempts of one id get."""
 
     status: int
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class KeptResult:
+class StoredResult:
     """An at-most-once id as this proxy knows it, and who waits for its result."""
 
     epoch: int
@@ -46,7 +46,7 @@
     # Whether an attempt of it is under way here.
     is_running: bool = True
     # What it became; None while that is open.
-    response: KeptResponse | None = None
+    response: StoredResponse | None = None
     # The zone where it ran; '' where nothing ran, as far as is known.
     zone: str = ''
     waiting: list[Request] = dataclasses.field(default_factory=list)
@@ -71,9 +71,9 @@
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
         """Set up without results."""
         super().__init__(proxy)
-        # {id: KeptResult}, oldest first, and the size of the responses in it.
-        self.kept_results: collections.OrderedDict[str, KeptResult] = collections.OrderedDict()
-        self.kept_bytes = 0
+        # {id: StoredResult}, oldest first, and the size of the responses in it.
+        self.stored_results: collections.OrderedDict[str, StoredResult] = collections.OrderedDict()
+        self.stored_bytes = 0
         # Requests whose result another proxy is asked for: {key of the query: Request}.
         self.result_queries: dict[int, Request] = {}
 
@@ -81,41 +81,43 @@
 
     def begin_result(self, request: Request) -> None:
         """Note that an attempt is under way; forget the oldest results where there are too many."""
-        self.kept_results[request.id] = KeptResult(epoch_of(request), request.claim_nonce)
-        while len(self.kept_results) > KEPT_MOST or self.kept_bytes > KEPT_BYTES_MOST:
-            oldest_id, oldest = next(iter(self.kept_results.items()))
+        self.stored_results[request.id] = StoredResult(epoch_of(request), request.claim_nonce)
+        while len(self.stored_results) > MAX_STORED_RESULTS or self.stored_bytes > MAX_STORED_BYTES:
+            oldest_id, oldest = next(iter(self.stored_results.items()))
             if oldest.is_running:
                 break
             self.forget_result(oldest_id)
 
-    def end_result(self, request: Request, kept: KeptResult, response: KeptResponse | None, has_run: bool) -> None:
+    def end_result(
+        self, request: Request, stored: StoredResult, response: StoredResponse | None, has_run: bool
+    ) -> None:
         """Keep the response of an attempt that ended; without one its claim is closed, and the next starts anew."""
-        kept.is_running = False
+        stored.is_running = False
         if response is None:
-            del self.kept_results[request.id]
+            del self.stored_results[request.id]
             return
-        kept.response, kept.zone = response, request.zone if has_run else ''
-        self.kept_bytes += len(response.body)
+        stored.response, stored.zone = response, request.zone if has_run else ''
+        self.stored_bytes += len(response.body)
 
-    def replace_response(self, kept: KeptResult, status: int, headers: dict[str, str], body: bytes) -> None:
+    def replace_response(self, stored: StoredResult, status: int, headers: dict[str, str], body: bytes) -> None:
         """Keep another response than before for an id."""
-        assert kept.response is not None
-        self.kept_bytes += len(body) - len(kept.response.body)
-        kept.response = KeptResponse(status, headers, body)
+        assert stored.response is not None
+        self.stored_bytes += len(body) - len(stored.response.body)
+        stored.response = StoredResponse(status, headers, body)
 
     def forget_result(self, request_id: str) -> None:
         """Drop what is kept of an id."""
-        kept = self.kept_results.pop(request_id)
-        if kept.response:
-            self.kept_bytes -= len(kept.response.body)
+        stored = self.stored_results.pop(request_id)
+        if stored.response:
+            self.stored_bytes -= len(stored.response.body)
 
     def forget_old_results(self) -> None:
         """Drop results of epochs whose claims are no longer retained."""
         oldest = (self.proxy.replica.get('meta', 'epoch') or 0) - self.proxy.settings.epochs_kept
-        for request_id in [i for i, k in self.kept_results.items() if k.epoch <= oldest and not k.is_running]:
+        for request_id in [i for i, k in self.stored_results.items() if k.epoch <= oldest and not k.is_running]:
             self.forget_result(request_id)
 
-    def replay(self, request: Request, response: KeptResponse, zone: str) -> None:
+    def replay(self, request: Request, response: StoredResponse, zone: str) -> None:
         """Answer an attempt with the response of another, which ran in `zone`."""
         if self.is_outside_home(request, zone):
             self.proxy.runner.refuse(request, ran_outside_home())
@@ -135,7 +137,7 @@
 
     # -- claims -----------------------------------------------------------
 
-    def claim_answered(self, request: Request, result: dict) -> None:
+    def handle_claim_result(self, request: Request, result: dict) -> None:
         """The leader's answer to `claim`."""
         if not self.proxy.runner.is_pending(request):
             return
@@ -182,27 +184,27 @@
 
     # -- results between proxies ------------------------------------------
 
-    def answer_query(self, message: traffic_messages.ResultRequest) -> None:
+    def handle_result_request(self, message: traffic_messages.ResultRequest) -> None:
         """Another proxy asks for the result of an id; answered when that is known."""
-        kept = self.kept_results.get(message.request_id)
+        stored = self.stored_results.get(message.request_id)
         query = ResultQuery(codec.sender_of(message).address, message.key)
-        if kept is not None and kept.is_running:
-            kept.queries.append(query)
+        if stored is not None and stored.is_running:
+            stored.queries.append(query)
         else:
-            self.send_result(query, message.request_id, kept)
+            self.send_result(query, message.request_id, stored)
 
-    def send_result(self, query: ResultQuery, request_id: str, kept: KeptResult | None) -> None:
+    def send_result(self, query: ResultQuery, request_id: str, stored: StoredResult | None) -> None:
         """Answer another proxy's query; without a result where none is known."""
         response: list | None = None
         zone = ''
-        if kept is not None and kept.response:
-            status, headers, body = kept.response
+        if stored is not None and stored.response:
+            status, headers, body = stored.response
             response = [status, headers, base64.b64encode(body).decode()]
-            zone = kept.zone
+            zone = stored.zone
         answer = traffic_messages.ResultResponse(key=query.key, request_id=request_id, result=response, zone=zone)
         self.proxy.send_message(query.addr, answer)
 
-    def take_result(self, message: traffic_messages.ResultResponse) -> None:
+    def handle_result_response(self, message: traffic_messages.ResultResponse) -> None:
         """The answer of the claim's owner."""
         request = self.result_queries.get(message.key)
         if request is None or message.request_id not in (None, request.id):
@@ -218,4 +220,4 @@
             )
             return
         status, headers, body = message.result
-        self.replay(request, KeptResponse(status, headers, base64.b64decode(body)), message.zone or '')
+        self.replay(request, StoredResponse(status, headers, base64.b64decode(body)), message.zone or '')
--- a/zinctrail/proxy/client_disconnects.py
+++ b/zinctrail/proxy/client_disconnects.py
@@ -24,7 +24,7 @@
 class ClientDisconnects(proxy_part.ProxyPart):
     """Ends the work for callers that have gone, and counts and logs it."""
 
-    def disconnected(self, call_id: typing.Any) -> None:
+    def handle_disconnect(self, call_id: typing.Any) -> None:
         """A caller has gone; its request may be answered already."""
         request = self.proxy.runner.requests.get(call_id)
         if request is None:
--- a/zinctrail/proxy/client_responses.py
+++ b/zinctrail/proxy/client_responses.py
@@ -14,7 +14,7 @@
 # Response headers that are of a connection, or set by our server; never passed through.
 CONNECTION_HEADERS = ('connection', 'transfer-encoding', 'content-length', 'date', 'server', 'keep-alive')
 # How much of a caller's id a refusal repeats, in characters.
-ID_SHOWN = 100
+MAX_ECHOED_ID_LENGTH = 100
 
 
 def passed_headers(result: effects.HttpResult) -> dict[str, str]:
@@ -35,7 +35,7 @@
         headers = {
             'zt-outcome': outcome,
             'zt-attempt-outcome': refusal.outcome,
-            'zt-id': request.id[:ID_SHOWN],
+            'zt-id': request.id[:MAX_ECHOED_ID_LENGTH],
             'zt-attempt': str(request.attempt),
             'content-type': 'application/json',
         }
@@ -60,18 +60,21 @@
         self.proxy.out.append(effects.HttpResponse(request.call_id, status, headers, body))
         if not request.claim_nonce:
             return
-        kept = self.proxy.at_most_once.kept_results.get(request.id)
-        if kept is None or not kept.is_running:
+        stored = self.proxy.at_most_once.stored_results.get(request.id)
+        if stored is None or not stored.is_running:
             return
         is_unknown = headers['zt-outcome'] == refusals.UNKNOWN
         self.proxy.at_most_once.end_result(
-            request, kept, at_most_once.KeptResponse(status, headers, body) if has_run or is_unknown else None, has_run
+            request,
+            stored,
+            at_most_once.StoredResponse(status, headers, body) if has_run or is_unknown else None,
+            has_run,
         )
-        for waiting in kept.waiting:
+        for waiting in stored.waiting:
             if self.proxy.runner.is_pending(waiting):
-                if kept.response:
-                    self.proxy.at_most_once.replay(waiting, kept.response, kept.zone)
+                if stored.response:
+                    self.proxy.at_most_once.replay(waiting, stored.response, stored.zone)
                 else:
-                    self.proxy.runner.resume(waiting, pipeline.replay_known)
-        for query in kept.queries:
-            self.proxy.at_most_once.send_result(query, request.id, kept)
+                    self.proxy.runner.resume(waiting, pipeline.replay_stored)
+        for query in stored.queries:
+            self.proxy.at_most_once.send_result(query, request.id, stored)
--- a/zinctrail/proxy/credit.py
+++ b/zinctrail/proxy/credit.py
@@ -21,7 +21,7 @@
 # The least time between two requests for credit of one pool.
 REQUEST_INTERVAL = durations.ms(20)
 # How many requests for credit of one pool are remembered until their grant comes.
-REQUESTS_REMEMBERED = 50
+MAX_PENDING_REQUESTS = 50
 # Every such failure of a pool's policy is logged.
 POLICY_LOG_EVERY = 1000
 
@@ -48,7 +48,7 @@
     # {home regions, joined by commas: how many requests were sent of late}.
     recent_demand: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
     # How long a request usually takes at an endpoint, in milliseconds; 0 before the first.
-    took_ms: float = 0.0
+    latency_ms: float = 0.0
 
     def has_credit(self) -> bool:
         """Whether any endpoint could be sent a request."""
@@ -81,7 +81,7 @@
         pool = self.pool_credit(request.pool)
         if pool.lease_until <= self.proxy.now:
             return None
-        good = []
+        candidates = []
         routes, unreachable_until = self.proxy.routes, self.proxy.upstream.unreachable_until
         endpoints: dict[str, rows.EndpointRow] = self.proxy.replica.get('endpoints')
         own_zone = self.proxy.location.cell
@@ -96,11 +96,11 @@
             if request.allowed_regions and region not in request.allowed_regions:
                 continue
             usage = pool.in_use[incarnation] / granted
-            good.append(((region != own_region, zone != own_zone, usage, self.proxy.rng.random()), incarnation))
-        if not good:
+            candidates.append(((region != own_region, zone != own_zone, usage, self.proxy.rng.random()), incarnation))
+        if not candidates:
             return None
-        good.sort()
-        return self.choose_by_policy(request, [incarnation for _, incarnation in good]) or good[0][1]
+        candidates.sort()
+        return self.choose_by_policy(request, [incarnation for _, incarnation in candidates]) or candidates[0][1]
 
     def choose_by_policy(self, request: Request, incarnations: list[str]) -> str | None:
         """What the pool's own policy chooses among these; None without one, or if it fails."""
@@ -147,11 +147,12 @@
 
     def can_wait(self, request: Request, ahead: int, capacity: int) -> bool:
         """Whether waiting behind `ahead` requests can end in time, if all of the pool's capacity were ours."""
-        took = self.pool_credit(request.pool).took_ms
+        latency_ms = self.pool_credit(request.pool).latency_ms
         is_hopeless = (
             capacity
-            and took
-            and durations.ms(took * (ahead + 1) / capacity) + durations.ms(took / 2) > request.deadline - self.proxy.now
+            and latency_ms
+            and durations.ms(latency_ms * (ahead + 1) / capacity) + durations.ms(latency_ms / 2)
+            > request.deadline - self.proxy.now
         )
         return self.can_queue(request) and not is_hopeless
 
@@ -192,7 +193,7 @@
                 continue
             # Whether there is credit at all is looked at first: mostly there is none, and choosing costs more.
             if pool.has_credit() and self.choose_endpoint(request) is not None:
-                self.proxy.runner.run_passes(request)
+                self.proxy.runner.run_stages(request)
             elif self.can_wait(request, ahead, capacity):
                 pool.queue.append(request)
                 ahead += 1
@@ -215,10 +216,10 @@
             pool.fencing_token, pool.grant_number = duty['fence'], 0
             pool.requested.clear()
         is_idle = not pool.queue and not pool.in_use and not any(pool.recent_demand.values())
-        need = self.take_demand(pool)
+        need = self.collect_demand(pool)
         number = self.proxy.next_number()
         pool.requested[number] = self.proxy.now
-        while len(pool.requested) > REQUESTS_REMEMBERED:
+        while len(pool.requested) > MAX_PENDING_REQUESTS:
             pool.requested.popitem(last=False)
         load = self.proxy.upstream.reported_load
         credit_request = traffic_messages.CreditRequest(
@@ -233,7 +234,7 @@
         )
         self.proxy.send_message(duty['addr'], credit_request)
 
-    def take_demand(self, pool: PoolCredit) -> dict[str, int]:
+    def collect_demand(self, pool: PoolCredit) -> dict[str, int]:
         """How many requests need credit, by home regions; what was sent of late counts half the next time."""
         need: collections.Counter[str] = collections.Counter()
         for home, count in pool.recent_demand.items():
@@ -245,7 +246,7 @@
         pool.recent_demand = collections.Counter({h: n // 2 for h, n in pool.recent_demand.items() if n > 1})
         return dict(need)
 
-    def request_awaited(self) -> None:
+    def request_credit_for_queues(self) -> None:
         """Ask again for the pools that requests wait for."""
         for name, pool in list(self.pools.items()):
             if pool.queue:
@@ -259,7 +260,7 @@
         for name in self.pools:
             self.retry_queued(name)
 
-    def take_grant(self, message: traffic_messages.CreditGrant) -> None:
+    def handle_grant(self, message: traffic_messages.CreditGrant) -> None:
         """A grant came from the pool's ledger."""
         pool = self.pool_credit(message.pool)
         requested_at = pool.requested.get(message.number)
@@ -273,7 +274,7 @@
         pool.lease_until = requested_at + self.proxy.settings.credit
         self.retry_queued(message.pool)
 
-    def answer_collection(self, message: traffic_messages.CreditCollection) -> None:
+    def handle_collection(self, message: traffic_messages.CreditCollection) -> None:
         """A new ledger asks what this proxy holds and uses."""
         pool = self.pool_credit(message.pool)
         if message.fencing_token < pool.fencing_token:
--- a/zinctrail/proxy/endpoint_selection.py
+++ b/zinctrail/proxy/endpoint_selection.py
@@ -18,7 +18,7 @@
 # Random part of the cost, so that proxies with the same view do not all choose the same endpoint.
 RANDOM_COST = 0.05
 # Up to which load an endpoint is chosen, as a multiple of its slots: it queues a few requests.
-LOAD_MOST = 1.5
+MAX_LOAD = 1.5
 # How many connections this proxy may have to one endpoint where its pool does not say.
 DEFAULT_CONNECTIONS = 64
 
@@ -97,14 +97,14 @@
         for incarnation, row, view, region, distance_cost, is_ejected in self.candidates_of(request.pool):
             if (
                 incarnation in request.tried
-                or view.rest_until > now
+                or view.backoff_until > now
                 or request.allowed_regions
                 and region not in request.allowed_regions
                 or slow_start.is_throttled(incarnation, row)
             ):
                 continue
             load = view.load(now) / row['slots']
-            if load >= LOAD_MOST or view.in_use >= connections:
+            if load >= MAX_LOAD or view.in_use >= connections:
                 continue
             cost = (load + IDLE_COST) * view.slowness(typical_ms) + view.recent_failures(now)
             cost += distance_cost + rng.random() * RANDOM_COST
@@ -151,7 +151,7 @@
             if (
                 routes.is_usable(incarnation)
                 and (not request.allowed_regions or routes.region_of(row['cell']) in request.allowed_regions)
-                and not (row.get('chill') and self.proxy.slow_start.cold_interval(incarnation, row) is None)
+                and not (row.get('chill') and self.proxy.slow_start.warm_up_interval(incarnation, row) is None)
             ):
                 return True
         return False
--- a/zinctrail/proxy/endpoint_view.py
+++ b/zinctrail/proxy/endpoint_view.py
@@ -8,23 +8,23 @@
 LOAD_VALID = durations.ms(1500)
 # How long an endpoint is avoided after a failure; longer with each one in a row, up to so many times.
 BACKOFF = durations.ms(1000)
-BACKOFF_TIMES_MOST = 4
+MAX_BACKOFF_FACTOR = 4
 # The weight of one more response in what is kept of an endpoint's responses, and when a failure is forgotten.
 SMOOTHING = 0.15
 FAILURES_VALID = durations.ms(8000)
 # An endpoint with work is unresponsive after so long, and so many times the usual, without a response.
-UNRESPONSIVE_LEAST = durations.ms(300)
-UNRESPONSIVE_TIMES = 4
+MIN_UNRESPONSIVE_TIME = durations.ms(300)
+UNRESPONSIVE_FACTOR = 4
 # Bounds of an endpoint's usual time as a multiple of its pool's.
-SLOWNESS_LEAST, SLOWNESS_MOST = 0.6, 3.0
+MIN_SLOWNESS, MAX_SLOWNESS = 0.6, 3.0
 # How many successes are reported with a failure at the most.
-SUCCESSES_MOST = 8
+MAX_SUCCESSES = 8
 LONG_AGO = durations.ms(-3600000)
 
 
 def unresponsive_after(typical_ms: float) -> datetime.timedelta:
     """How long an endpoint with work may go without a response, where its pool's usual time is so many milliseconds."""
-    return max(UNRESPONSIVE_LEAST, durations.ms(UNRESPONSIVE_TIMES * typical_ms))
+    return max(MIN_UNRESPONSIVE_TIME, durations.ms(UNRESPONSIVE_FACTOR * typical_ms))
 
 
 class EndpointView:
@@ -38,14 +38,14 @@
         self.reported_at: datetime.timedelta | None = None
         self.reported_in_use = 0
         # Until when it is not chosen at all, and until when only where there is no other.
-        self.rest_until = durations.ZERO
+        self.backoff_until = durations.ZERO
         self.suspect_until = durations.ZERO
         # How often in a row it failed; the share of its last responses that were failures, and when that is of.
         self.consecutive_failures = 0
         self.failure_share = 0.0
         self.failure_share_at = durations.ZERO
         # Its usual time, in milliseconds; 0 before the first success.
-        self.took_ms = 0.0
+        self.latency_ms = 0.0
         # Since when it has had work of ours, and when it last responded.
         self.busy_since = LONG_AGO
         self.responded_at = LONG_AGO
@@ -71,15 +71,15 @@
 
     def slowness(self, typical_ms: float) -> float:
         """Its usual time over that of its pool, within bounds."""
-        if not self.took_ms or not typical_ms:
+        if not self.latency_ms or not typical_ms:
             return 1.0
-        return min(SLOWNESS_MOST, max(SLOWNESS_LEAST, self.took_ms / typical_ms))
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, self.latency_ms / typical_ms))
 
     def recent_failures(self, now: datetime.timedelta) -> float:
         """The share of its last few responses that were failures, fading."""
         return self.failure_share * max(0.0, 1 - (now - self.failure_share_at) / FAILURES_VALID)
 
-    def observe(self, now: datetime.timedelta, has_failed: bool, took_ms: int) -> None:
+    def observe(self, now: datetime.timedelta, has_failed: bool, latency_ms: int) -> None:
         """It responded, or failed to."""
         share = self.recent_failures(now)
         self.failure_share = share + ((1.0 if has_failed else 0.0) - share) * SMOOTHING
@@ -88,28 +88,28 @@
             self.consecutive_failures += 1
             if self.consecutive_failures > 1:
                 # From the second on: one lost response is chance, two in a row are an unhealthy endpoint.
-                self.suspect_until = now + self.backoff(self.consecutive_failures - 1)
+                self.suspect_until = now + self.backoff_duration(self.consecutive_failures - 1)
         else:
             self.consecutive_failures = 0
-            self.took_ms += (took_ms - self.took_ms) * SMOOTHING if self.took_ms else took_ms
-            self.successes = min(SUCCESSES_MOST, self.successes + 1)
+            self.latency_ms += (latency_ms - self.latency_ms) * SMOOTHING if self.latency_ms else latency_ms
+            self.successes = min(MAX_SUCCESSES, self.successes + 1)
 
-    def observe_cancelled(self, now: datetime.timedelta, took_ms: int, typical_ms: float) -> None:
+    def observe_cancelled(self, now: datetime.timedelta, latency_ms: int, typical_ms: float) -> None:
         """A request that it did not respond to for so long was given up.
 
         That time says at least how long it takes; without it, an endpoint that nobody has the patience to wait for would
         look as if it had no work and were as fast as ever.
         """
-        if durations.ms(took_ms) > unresponsive_after(typical_ms):
-            self.observe(now, has_failed=True, took_ms=took_ms)
-        elif 0 < self.took_ms < took_ms:
-            self.took_ms += (took_ms - self.took_ms) * SMOOTHING
+        if durations.ms(latency_ms) > unresponsive_after(typical_ms):
+            self.observe(now, has_failed=True, latency_ms=latency_ms)
+        elif 0 < self.latency_ms < latency_ms:
+            self.latency_ms += (latency_ms - self.latency_ms) * SMOOTHING
 
-    def rest(self, now: datetime.timedelta) -> None:
+    def back_off(self, now: datetime.timedelta) -> None:
         """Do not choose it for a while, longer each time."""
         self.consecutive_failures += 1
-        self.rest_until = now + self.backoff(self.consecutive_failures)
+        self.backoff_until = now + self.backoff_duration(self.consecutive_failures)
 
-    def backoff(self, failures: int) -> datetime.timedelta:
+    def backoff_duration(self, failures: int) -> datetime.timedelta:
         """How long it is avoided after so many failures in a row."""
-        return BACKOFF * min(BACKOFF_TIMES_MOST, failures)
+        return BACKOFF * min(MAX_BACKOFF_FACTOR, failures)
--- a/zinctrail/proxy/hedging.py
+++ b/zinctrail/proxy/hedging.py
@@ -12,18 +12,18 @@
 
 Request = request_record.Request
 # The share of its latency target after which a request is hedged.
-HEDGE_SHARE = 0.6
+HEDGE_FRACTION = 0.6
 # The least time between two looks at what is to be hedged: waking up for each costs more than some milliseconds.
-LOOK_INTERVAL = durations.ms(25)
+CHECK_INTERVAL = durations.ms(25)
 # When a hedge that had no endpoint or no budget is tried again: the budget earns a retry within some tenths of a
 # second, and an endpoint that dies holds several requests.
 RETRY_INTERVAL = durations.ms(60)
 
 
-def first_hedge(request: Request, now: datetime.timedelta) -> datetime.timedelta:
+def first_hedge_at(request: Request, now: datetime.timedelta) -> datetime.timedelta:
     """When a request that is sent now is hedged."""
     target = request.latency_target - request.received_at
-    return max(now, request.received_at) + target * HEDGE_SHARE
+    return max(now, request.received_at) + target * HEDGE_FRACTION
 
 
 class Hedging(proxy_part.ProxyPart):
@@ -34,7 +34,7 @@
         request.hedge_at = at
         self.proxy.set_timer_by('hedge', at)
 
-    def hedge_due(self) -> None:
+    def send_due_hedges(self) -> None:
         """Hedge what is due."""
         due: list[Request] = []
         later: list[datetime.timedelta] = []
@@ -49,7 +49,7 @@
             request.hedge_at = None
             self.hedge(request)
         if later:
-            self.proxy.set_timer_by('hedge', max(self.proxy.now + LOOK_INTERVAL, min(later)))
+            self.proxy.set_timer_by('hedge', max(self.proxy.now + CHECK_INTERVAL, min(later)))
 
     def hedge(self, request: Request) -> None:
         """Send a request to a second endpoint, if rule, budget and endpoints allow."""
--- a/zinctrail/proxy/node.py
+++ b/zinctrail/proxy/node.py
@@ -33,7 +33,7 @@
 import zinctrail.runtime.settings as settings
 
 # How many other proxies a refusal names at the most.
-OTHER_PROXIES_MOST = 5
+MAX_OTHER_PROXIES = 5
 
 
 class Proxy(member.Member):
@@ -117,39 +117,39 @@
 
     def on_hung_up(self, call_id: typing.Any) -> None:
         """Input: the caller went away before its answer."""
-        self.client_disconnects.disconnected(call_id)
+        self.client_disconnects.handle_disconnect(call_id)
 
     # -- frames and fetches, as they come in --------------------------------
 
     def on_result_request(self, message: traffic_messages.ResultRequest) -> None:
         """Another proxy asks for the result of an id."""
-        self.at_most_once.answer_query(message)
+        self.at_most_once.handle_result_request(message)
 
     def on_result_response(self, message: traffic_messages.ResultResponse) -> None:
         """The answer of another proxy that owns a claim."""
-        self.at_most_once.take_result(message)
+        self.at_most_once.handle_result_response(message)
 
     def on_credit_grant(self, message: traffic_messages.CreditGrant) -> None:
         """A grant of a pool's credit ledger."""
-        self.credit.take_grant(message)
+        self.credit.handle_grant(message)
 
     def on_credit_collection(self, message: traffic_messages.CreditCollection) -> None:
         """A new credit ledger asks what this proxy holds."""
-        self.credit.answer_collection(message)
+        self.credit.handle_collection(message)
 
     def on_fetched(self, fetch_id: int, result: effects.HttpResult) -> None:
         """Input: a fetch ended."""
         if fetch_id in self.open_upstream.fetches:
-            self.open_upstream.fetched(fetch_id, result)
+            self.open_upstream.handle_fetch_result(fetch_id, result)
         elif fetch_id in self.upstream.fetches:
-            self.upstream.fetched(fetch_id, result)
+            self.upstream.handle_fetch_result(fetch_id, result)
         # Any other was cancelled while its result was under way to us.
 
     # -- timers -------------------------------------------------------------
 
     def timer_deadlines(self) -> None:
         """A request may have reached its deadline."""
-        self.runner.end_overdue()
+        self.runner.expire_requests()
 
     def timer_demand(self) -> None:
         """It is time to report the demand for credit."""
@@ -157,7 +157,7 @@
 
     def timer_credit_requests(self) -> None:
         """Credit that requests wait for may be asked for again."""
-        self.credit.request_awaited()
+        self.credit.request_credit_for_queues()
 
     def timer_reserved_slots(self) -> None:
         """The work behind a lost response may have ended."""
@@ -169,7 +169,7 @@
 
     def timer_hedge(self) -> None:
         """A request of open traffic may have to be hedged."""
-        self.hedging.hedge_due()
+        self.hedging.send_due_hedges()
 
     def timer_failure_report(self) -> None:
         """It is time to report failures of endpoints."""
@@ -214,14 +214,14 @@
             and not self.routes.is_evacuated(row['cell'])
             and (not allowed_regions or self.routes.region_of(row['cell']) in allowed_regions)
         ]
-        return sorted(addresses)[:OTHER_PROXIES_MOST]
+        return sorted(addresses)[:MAX_OTHER_PROXIES]
 
     def status(self) -> dict:
         """The JSON of /v1/self; its names are part of the HTTP interface."""
         status = super().status()
         status.update(
             table=len(self.runner.requests),
-            kept=len(self.at_most_once.kept_results),
+            kept=len(self.at_most_once.stored_results),
             counts=dict(self.counts),
             held=len(self.upstream.reserved_slots),
             # What each service may be sent again now: earned by first attempts, and out of the fixed allowance.
--- a/zinctrail/proxy/open_pipeline.py
+++ b/zinctrail/proxy/open_pipeline.py
@@ -18,14 +18,14 @@
 
 GO, WAIT = request_record.GO, request_record.WAIT
 Request = request_record.Request
-ID_LENGTH_MOST = 200
+MAX_ID_LENGTH = 200
 # How long a request waits for a lease: a leader that is being replaced is back in little more.
 LEASE_WAIT = durations.ms(100)
 # A request may wait for room for this part of its latency target, a fifth: then another proxy can still serve it.
 QUEUE_DIVISOR = 5
 # Bounds of the milliseconds until a refused caller's retry, and what its time counts as where it is not known.
-RETRY_LEAST_MS, RETRY_MOST_MS = 50, 1000
-RETRY_TIME_UNKNOWN_MS = 900
+MIN_RETRY_MS, MAX_RETRY_MS = 50, 1000
+DEFAULT_REMAINING_MS = 900
 # Milliseconds after which a refused caller may retry, by cause.
 RETRY_LEAVING_MS = 50
 RETRY_UNREACHABLE_MS = 100
@@ -34,19 +34,19 @@
 
 def retry_ms(proxy: proxy_part.ProxyNode, request: Request) -> int:
     """Milliseconds until another attempt: a third of the time left, which most faults need to pass."""
-    left = durations.to_ms(request.deadline - proxy.now) if request.deadline else RETRY_TIME_UNKNOWN_MS
-    return min(RETRY_MOST_MS, max(RETRY_LEAST_MS, left // 3))
+    remaining = durations.to_ms(request.deadline - proxy.now) if request.deadline else DEFAULT_REMAINING_MS
+    return min(MAX_RETRY_MS, max(MIN_RETRY_MS, remaining // 3))
 
 
 def accept(proxy: proxy_part.ProxyNode, request: Request) -> bool:
     """Read the headers; refuse it, or let it wait, where this proxy can not serve it now."""
     headers = request.call.headers
     request.id = headers.get('zt-id', '')
-    if not request.id or len(request.id) > ID_LENGTH_MOST:
+    if not request.id or len(request.id) > MAX_ID_LENGTH:
         raise refusals.MalformedRequest('the id is missing, or longer than 200')
-    left_ms = admission.time_left_ms(headers, 'the time left')
-    if left_ms is not None:
-        request.deadline = request.received_at + durations.ms(left_ms)
+    remaining_ms = admission.remaining_time_ms(headers, 'the time left')
+    if remaining_ms is not None:
+        request.deadline = request.received_at + durations.ms(remaining_ms)
     if proxy.shutdown.refuses_open_traffic:
         # It would still be in flight when the process has to exit.
         raise refusals.Unavailable('leaving', RETRY_LEAVING_MS)
@@ -120,18 +120,18 @@
     result = request.result
     if not result.sent:
         return retry_unsent(proxy, request)
-    fault = open_responses.fault_of(request, result)
+    error = open_responses.response_error(request, result)
     if open_responses.is_refused(request, result):
         if result.status == open_responses.MISDIRECTED:
-            proxy.open_upstream.rest_endpoint(request.incarnation)
+            proxy.open_upstream.back_off_endpoint(request.incarnation)
         return proxy.open_upstream.retry(request, refusals.Unavailable('the endpoint did not run it', RETRY_NOT_RUN_MS))
-    if fault:
+    if error:
         proxy.counts['garbled'] += 1
         request.may_have_run = True
-        lost = refusals.OutcomeUnknown(502, f'outcome unknown: {fault}')
+        unknown_outcome = refusals.OutcomeUnknown(502, f'outcome unknown: {error}')
         if request.at_most_once:
-            raise lost
-        return proxy.open_upstream.retry(request, lost)
+            raise unknown_outcome
+        return proxy.open_upstream.retry(request, unknown_outcome)
     if result.status >= 500 and not request.at_most_once:
         request.may_have_run = True
         return proxy.open_upstream.retry(request, None)
@@ -140,7 +140,7 @@
 
 def retry_unsent(proxy: proxy_part.ProxyNode, request: Request) -> bool:
     """Retry what surely reached no endpoint: that attempt is not counted."""
-    proxy.open_upstream.rest_endpoint(request.incarnation)
+    proxy.open_upstream.back_off_endpoint(request.incarnation)
     if not request.is_retry:
         proxy.retry_budgets.budget_of(request.pool).return_earned()
     request.send_count -= 1
@@ -154,4 +154,4 @@
     return WAIT
 
 
-PASSES: list[proxy_part.Pass] = [accept, match_route, choose_endpoint, send, check_response, respond]
+STAGES: list[proxy_part.Stage] = [accept, match_route, choose_endpoint, send, check_response, respond]
--- a/zinctrail/proxy/open_queue.py
+++ b/zinctrail/proxy/open_queue.py
@@ -39,7 +39,7 @@
                 # In a crowd hundreds wait; where the first of them found no room, the others need not look.
                 self.add(request, request.queue_deadline)
                 continue
-            self.proxy.runner.run_passes(request)
+            self.proxy.runner.run_stages(request)
             is_queued = request.waiting_for is request_record.Waiting.ROOM and self.proxy.runner.is_pending(request)
             if pool_key and is_queued:
                 full.add(pool_key)
--- a/zinctrail/proxy/open_responses.py
+++ b/zinctrail/proxy/open_responses.py
@@ -24,7 +24,7 @@
 # No caller may have these removed on the way by naming them in `connection`.
 NEVER_REMOVED = {'zt-id', 'host'}
 # Statuses by which a caller is promised that its request did not run and never will.
-PROMISES = (408, 429, 503)
+NOT_RUN_STATUSES = (408, 429, 503)
 MISDIRECTED = 421
 
 
@@ -48,7 +48,7 @@
     )
 
 
-def fault_of(request: Request, result: effects.HttpResult) -> str:
+def response_error(request: Request, result: effects.HttpResult) -> str:
     """Why a response is not complete or not of this request; '' if it is."""
     if result.fault:
         return result.fault
@@ -58,7 +58,7 @@
         return 'success without a stamp'
     if 'content-encoding' in result.headers:
         return 'reply in an encoding that nobody asked for'
-    if result.status in PROMISES and 'zt-not-run' not in result.headers:
+    if result.status in NOT_RUN_STATUSES and 'zt-not-run' not in result.headers:
         # To its caller the status would promise that nothing ran, and the endpoint does not say so.
         return f'a {result.status} that does not say whether it ran'
     return ''
@@ -96,7 +96,7 @@
         self.proxy.runner.remove(request)
         self.proxy.out.append(effects.HttpResponse(request.call_id, status, headers, body))
 
-    def deadline_passed(self, request: Request) -> None:
+    def handle_deadline(self, request: Request) -> None:
         """Give a request up whose deadline is reached."""
         if request.waiting_for is request_record.Waiting.ROOM and not request.may_have_run:
             self.proxy.runner.refuse(request, refusals.DeadlineExceeded())
--- a/zinctrail/proxy/open_upstream.py
+++ b/zinctrail/proxy/open_upstream.py
@@ -14,9 +14,9 @@
 
 Request = request_record.Request
 # How much longer than the caller a fetch waits.
-FETCH_EXTRA = durations.ms(20)
+FETCH_MARGIN = durations.ms(20)
 # The share of its latency target below which the time that is left is next to nothing.
-LEFT_LEAST = 0.1
+MIN_REMAINING_FRACTION = 0.1
 
 
 class OpenFetch(typing.NamedTuple):
@@ -49,13 +49,13 @@
         request.in_flight[request.fetch_id] = request.incarnation
         self.fetches[request.fetch_id] = OpenFetch(request, request.incarnation, now)
         if not request.at_most_once and self.may_send_again(request):
-            proxy.hedging.plan(request, hedging.first_hedge(request, now))
+            proxy.hedging.plan(request, hedging.first_hedge_at(request, now))
         proxy.counts['sends'] += 1
         request.sent_at = request.sent_at or now
-        left = request.deadline - now
+        remaining = request.deadline - now
         headers = open_responses.end_to_end_headers(request.call.headers)
         headers['zt-inc'] = request.incarnation
-        headers['zt-left-ms'] = str(max(1, durations.to_ms(left)))
+        headers['zt-left-ms'] = str(max(1, durations.to_ms(remaining)))
         proxy.out.append(
             effects.HttpFetch(
                 request.fetch_id,
@@ -65,13 +65,13 @@
                 request.path,
                 headers,
                 request.call.body,
-                left + FETCH_EXTRA,
+                remaining + FETCH_MARGIN,
                 plain=True,
                 at_most_once=request.at_most_once,
             )
         )
 
-    def fetched(self, fetch_id: int, result: effects.HttpResult) -> None:
+    def handle_fetch_result(self, fetch_id: int, result: effects.HttpResult) -> None:
         """A fetch ended."""
         proxy = self.proxy
         request, incarnation, sent_at = self.fetches.pop(fetch_id)
@@ -111,9 +111,9 @@
         if proxy.open_queue.queued:
             proxy.open_queue.run_queued()
 
-    def rest_endpoint(self, incarnation: str) -> None:
+    def back_off_endpoint(self, incarnation: str) -> None:
         """Leave an endpoint out for a while, longer each time, and have the leader look at it."""
-        self.proxy.endpoint_selection.view_of(incarnation).rest(self.proxy.now)
+        self.proxy.endpoint_selection.view_of(incarnation).back_off(self.proxy.now)
         self.proxy.upstream.report_unreachable(incarnation)
 
     def is_too_late(self, request: Request) -> bool:
@@ -123,9 +123,11 @@
         caller that can still be told that it did not run, and the endpoint
         would work for nobody.
         """
-        left = request.deadline - self.proxy.now
-        least = (request.latency_target - request.received_at) * LEFT_LEAST
-        return left < least and durations.to_ms(left) < self.proxy.endpoint_selection.typical_ms.get(request.pool, 0.0)
+        remaining = request.deadline - self.proxy.now
+        least = (request.latency_target - request.received_at) * MIN_REMAINING_FRACTION
+        return remaining < least and durations.to_ms(remaining) < self.proxy.endpoint_selection.typical_ms.get(
+            request.pool, 0.0
+        )
 
     def may_send_again(self, request: Request) -> bool:
         """Whether the rule's attempts and the time allow one more send, and its caller still waits."""
@@ -144,7 +146,7 @@
         request.is_retry = request.send_count > 0
         if request.in_flight:
             # It was hedged, and the other response is still to come.
-            request.position = request.passes.index(open_pipeline.check_response)
+            request.position = request.stages.index(open_pipeline.check_response)
             return request_record.WAIT
         if self.may_send_again(request):
             try:
--- a/zinctrail/proxy/outlier_reports.py
+++ b/zinctrail/proxy/outlier_reports.py
@@ -16,10 +16,10 @@
 Request = request_record.Request
 # How many endpoints one report names at the most, and how long failures are collected for it: under a fault many
 # requests fail at once.
-REPORTED_MOST = 32
+MAX_REPORTED_ENDPOINTS = 32
 REPORT_DELAY = durations.ms(50)
 # A failure at the end of a caller's time, when less of the rule's than this share was used, says little of an endpoint.
-SHORT_SHARE = 1 / 2
+MIN_TIMEOUT_FRACTION = 1 / 2
 DEADLINE_MARGIN = durations.ms(30)
 
 
@@ -45,30 +45,32 @@
         incarnation: str,
         view: endpoint_view.EndpointView,
         result: effects.HttpResult,
-        took_ms: int,
+        latency_ms: int,
     ) -> None:
         """Count a success or a failure of an endpoint; what it did not run says nothing of it."""
         if not result.sent or open_responses.is_refused(request, result):
             return
-        has_failed = bool(open_responses.fault_of(request, result)) or result.status >= 500
-        view.observe(self.proxy.now, has_failed, took_ms)
+        has_failed = bool(open_responses.response_error(request, result)) or result.status >= 500
+        view.observe(self.proxy.now, has_failed, latency_ms)
         if has_failed:
-            self.report_failure(request, view, incarnation, took_ms)
+            self.report_failure(request, view, incarnation, latency_ms)
         else:
             typical = self.proxy.endpoint_selection.typical_ms.get(request.pool, 0.0)
             self.proxy.endpoint_selection.typical_ms[request.pool] = (
-                typical + (took_ms - typical) * endpoint_view.SMOOTHING if typical else float(took_ms)
+                typical + (latency_ms - typical) * endpoint_view.SMOOTHING if typical else float(latency_ms)
             )
 
-    def observe_cancelled(self, request: Request, view: endpoint_view.EndpointView, took_ms: int) -> None:
+    def observe_cancelled(self, request: Request, view: endpoint_view.EndpointView, latency_ms: int) -> None:
         """A request was given up before its endpoint responded; the leader is not told, as no response was due."""
-        view.observe_cancelled(self.proxy.now, took_ms, self.proxy.endpoint_selection.typical_ms.get(request.pool, 0.0))
+        view.observe_cancelled(
+            self.proxy.now, latency_ms, self.proxy.endpoint_selection.typical_ms.get(request.pool, 0.0)
+        )
 
     def report_failure(
-        self, request: Request, view: endpoint_view.EndpointView, incarnation: str, took_ms: int
+        self, request: Request, view: endpoint_view.EndpointView, incarnation: str, latency_ms: int
     ) -> None:
         """Collect a failure for the next report, with the successes since the last one."""
-        is_short = took_ms < request.open_rule['timeout_ms'] * SHORT_SHARE
+        is_short = latency_ms < request.open_rule['timeout_ms'] * MIN_TIMEOUT_FRACTION
         if is_short and self.proxy.now >= request.deadline - DEADLINE_MARGIN:
             # The caller gave it little time.
             return
@@ -82,6 +84,7 @@
         unreported, self.unreported = self.unreported, {}
         if self.proxy.leader and unreported:
             failures = {
-                incarnation: list(unreported[incarnation]) for incarnation in sorted(unreported)[:REPORTED_MOST]
+                incarnation: list(unreported[incarnation])
+                for incarnation in sorted(unreported)[:MAX_REPORTED_ENDPOINTS]
             }
             self.proxy.send_message(self.proxy.leader['addr'], traffic_messages.EndpointFailures(endpoints=failures))
--- a/zinctrail/proxy/pipeline.py
+++ b/zinctrail/proxy/pipeline.py
@@ -1,7 +1,7 @@
 """The passes that a client's request goes through, in order.
 
 A pass takes the proxy and the request. It returns GO (the next pass runs) or
-WAIT (it is parked, somebody resumes it), or raises a Refusal. PASSES is the
+WAIT (it is parked, somebody resumes it), or raises a Refusal. STAGES is the
 registry.
 """
 
@@ -20,8 +20,8 @@
 GO, WAIT = request_record.GO, request_record.WAIT
 Request = request_record.Request
 # An epoch, a dot, and the caller's own part.
-ID = re.compile(r'[0-9]{1,11}\.[A-Za-z0-9_-]{1,64}\Z')
-ATTEMPTS_MOST = 1000
+ID_PATTERN = re.compile(r'[0-9]{1,11}\.[A-Za-z0-9_-]{1,64}\Z')
+MAX_ATTEMPTS = 1000
 DEFAULT_DEADLINE_MS = 5000
 # Milliseconds after which a refused caller may retry, by cause.
 RETRY_BUSY_MS = 300
@@ -30,7 +30,7 @@
 RETRY_NO_CREDIT_MS = 500
 RETRY_ENDPOINT_MS = 300
 # How the usual time of a pool shrinks with each request that is refused for it.
-TOOK_DECAY = 0.95
+LATENCY_DECAY = 0.95
 
 
 def parse_labels(text: str) -> dict[str, str]:
@@ -48,11 +48,11 @@
 def accept(proxy: proxy_part.ProxyNode, request: Request) -> bool:
     """Read the headers and the path; refuse it where this proxy may not serve it now."""
     read_identity(request)
-    left_ms = admission.time_left_ms(request.call.headers, 'zt-left-ms')
-    if left_ms is not None:
-        if left_ms == 0:
+    remaining_ms = admission.remaining_time_ms(request.call.headers, 'zt-left-ms')
+    if remaining_ms is not None:
+        if remaining_ms == 0:
             raise refusals.DeadlineExceeded
-        request.deadline = request.received_at + durations.ms(left_ms)
+        request.deadline = request.received_at + durations.ms(remaining_ms)
     read_path(request)
     homes = request.call.headers.get('zt-home', '').split(',')
     request.allowed_regions = tuple(region.strip() for region in homes if region.strip())
@@ -69,10 +69,10 @@
     request.id = headers.get('zt-id', '')
     # The attempt number is read first: without it no refusal could say which attempt it speaks of.
     attempt = headers.get('zt-attempt', '1')
-    if not parsing.is_whole(attempt) or len(attempt) > admission.DIGITS_MOST or not 1 <= int(attempt) <= ATTEMPTS_MOST:
+    if not parsing.is_whole(attempt) or len(attempt) > admission.MAX_DIGITS or not 1 <= int(attempt) <= MAX_ATTEMPTS:
         raise refusals.MalformedRequest('zt-attempt must be a whole number from 1 to 1000')
     request.attempt = int(attempt)
-    if not ID.match(request.id):
+    if not ID_PATTERN.match(request.id):
         raise refusals.MalformedRequest('zt-id must be an epoch, a dot and up to 64 letters, digits, - or _')
 
 
@@ -118,18 +118,18 @@
     return GO
 
 
-def replay_known(proxy: proxy_part.ProxyNode, request: Request) -> bool:
+def replay_stored(proxy: proxy_part.ProxyNode, request: Request) -> bool:
     """Answer an at-most-once id that this proxy knows from its one run, now or when that ends."""
     if not request.at_most_once:
         return GO
-    kept = proxy.at_most_once.kept_results.get(request.id)
-    if kept is None:
+    stored = proxy.at_most_once.stored_results.get(request.id)
+    if stored is None:
         return GO
-    if kept.response is not None:
-        proxy.at_most_once.replay(request, kept.response, kept.zone)
+    if stored.response is not None:
+        proxy.at_most_once.replay(request, stored.response, stored.zone)
         return WAIT
-    if kept.is_running:
-        kept.waiting.append(request)
+    if stored.is_running:
+        stored.waiting.append(request)
         request.waiting_for = request_record.Waiting.RUNNING_ATTEMPT
         return WAIT
     return GO
@@ -157,7 +157,7 @@
     proxy.request_operation(
         'claim',
         arguments,
-        lambda result: proxy.at_most_once.claim_answered(request, result),
+        lambda result: proxy.at_most_once.handle_claim_result(request, result),
         min(proxy.settings.call, request.deadline - proxy.now),
     )
     return WAIT
@@ -197,9 +197,9 @@
         raise refusals.DeadlineExceeded
     pool = proxy.credit.pool_credit(request.pool)
     # Half of the usual time, because what hardly ever ends in time is wasted work with an unknown outcome.
-    if request.deadline - proxy.now < durations.ms(pool.took_ms / 2):
+    if request.deadline - proxy.now < durations.ms(pool.latency_ms / 2):
         # The usual time shrinks: unless a request is sent now and then, nothing shows that the pool got faster.
-        pool.took_ms *= TOOK_DECAY
+        pool.latency_ms *= LATENCY_DECAY
         raise refusals.DeadlineExceeded('not enough time left for this service')
     require_lease(proxy, request)
     require_location(proxy, request)
@@ -211,7 +211,7 @@
     return WAIT
 
 
-def fault_of(request: Request, result: effects.HttpResult) -> str:
+def response_error(request: Request, result: effects.HttpResult) -> str:
     """Why a response is not complete, of this request and by this incarnation; '' if it is."""
     headers = result.headers
     if result.fault:
@@ -235,14 +235,14 @@
         return proxy.upstream.retry(
             request, refusals.Unavailable('the endpoint could not be reached', RETRY_ENDPOINT_MS)
         )
-    result.fault = fault_of(request, result)
+    result.fault = response_error(request, result)
     if result.fault:
         proxy.counts['garbled'] += 1
         request.may_have_run = True
-        lost = refusals.OutcomeUnknown(502, f'outcome unknown: {result.fault}')
+        unknown_outcome = refusals.OutcomeUnknown(502, f'outcome unknown: {result.fault}')
         if request.at_most_once:
-            raise lost
-        return proxy.upstream.retry(request, lost)
+            raise unknown_outcome
+        return proxy.upstream.retry(request, unknown_outcome)
     if result.headers['zt-outcome'] == refusals.NOT_RUN:
         return proxy.upstream.retry(request, refusals.Unavailable('the endpoint did not run it', RETRY_ENDPOINT_MS))
     return GO
@@ -254,10 +254,10 @@
     return WAIT
 
 
-PASSES: list[proxy_part.Pass] = [
+STAGES: list[proxy_part.Stage] = [
     accept,
     match_route,
-    replay_known,
+    replay_stored,
     claim,
     check_retry_budget,
     acquire_credit,
--- a/zinctrail/proxy/proxy_part.py
+++ b/zinctrail/proxy/proxy_part.py
@@ -120,4 +120,4 @@
 
 
 # A pass of a request: returns GO or WAIT (request.py), or raises a Refusal.
-Pass = typing.Callable[[ProxyNode, 'request_record.Request'], bool]
+Stage = typing.Callable[[ProxyNode, 'request_record.Request'], bool]
--- a/zinctrail/proxy/request.py
+++ b/zinctrail/proxy/request.py
@@ -53,7 +53,7 @@
     call: effects.HttpRequest
     received_at: datetime.timedelta
     # The passes it goes through, and the index of the one that runs or waits. Set by the runner.
-    passes: list['proxy_part.Pass'] = dataclasses.field(default_factory=list)
+    stages: list['proxy_part.Stage'] = dataclasses.field(default_factory=list)
     position: int = 0
     # Whether it is matched by host and path, for endpoints that link no library of ours. Set by the runner.
     is_open_traffic: bool = False
--- a/zinctrail/proxy/request_metrics.py
+++ b/zinctrail/proxy/request_metrics.py
@@ -16,9 +16,9 @@
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000)
 MILLISECOND = durations.ms(1)
 # Causes are ours and few; the bound keeps a text that names a caller's word from filling memory.
-CAUSES_MOST = 64
+MAX_CAUSES = 64
 # How much of a caller's id the log repeats, in characters.
-ID_SHOWN = 200
+MAX_LOGGED_ID_LENGTH = 200
 
 
 class Histogram:
@@ -28,11 +28,11 @@
         self.counts = [0] * (len(BUCKETS_MS) + 1)
         self.total_ms = 0.0
 
-    def add(self, took: datetime.timedelta) -> None:
+    def add(self, duration: datetime.timedelta) -> None:
         """Count one."""
-        took_ms = took / MILLISECOND
-        self.counts[bisect.bisect_left(BUCKETS_MS, took_ms)] += 1
-        self.total_ms += took_ms
+        duration_ms = duration / MILLISECOND
+        self.counts[bisect.bisect_left(BUCKETS_MS, duration_ms)] += 1
+        self.total_ms += duration_ms
 
     def metric(self, name: str, text: str) -> metrics.Metric:
         """The metric of these times."""
@@ -63,14 +63,14 @@
             self.times_at_endpoints.add(at_endpoints)
         if cause:
             cause = cause.partition(':')[0]
-            self.causes[cause if cause in self.causes or len(self.causes) < CAUSES_MOST else 'other'] += 1
+            self.causes[cause if cause in self.causes or len(self.causes) < MAX_CAUSES else 'other'] += 1
         if proxy.request_sampler.is_sampled(request.id) or (
             outcome == refusals.UNKNOWN and proxy.request_sampler.admits_failure(proxy.now)
         ):
             proxy.log(
-                f'Request {request.id[:ID_SHOWN]} ended: {cause or outcome}.',
+                f'Request {request.id[:MAX_LOGGED_ID_LENGTH]} ended: {cause or outcome}.',
                 'request',
-                id=request.id[:ID_SHOWN],
+                id=request.id[:MAX_LOGGED_ID_LENGTH],
                 outcome=outcome,
                 status=status,
                 service=request.pool or request.service,
@@ -96,8 +96,8 @@
         yield self.times_at_endpoints.metric('there_seconds', 'Time that requests spent at endpoints.')
         queued = len(self.proxy.open_queue.queued) + sum(len(pool.queue) for pool in self.proxy.credit.pools.values())
         yield metrics.gauge('waiting', 'Requests that wait for room at an endpoint.', queued)
-        resting = sum(
-            view.rest_until > self.proxy.now for view in self.proxy.endpoint_selection.endpoint_views.values()
+        backed_off = sum(
+            view.backoff_until > self.proxy.now for view in self.proxy.endpoint_selection.endpoint_views.values()
         )
         unreachable = sum(until > self.proxy.now for until in self.proxy.upstream.unreachable_until.values())
-        yield metrics.gauge('resting', 'Endpoints left alone for a while.', resting + unreachable)
+        yield metrics.gauge('resting', 'Endpoints left alone for a while.', backed_off + unreachable)
--- a/zinctrail/proxy/request_runner.py
+++ b/zinctrail/proxy/request_runner.py
@@ -16,7 +16,7 @@
 CLOSE_WAIT = durations.ms(500)
 
 
-def unconfirmed(refusal: refusals.Refusal) -> refusals.Refusal:
+def unconfirmed_refusal(refusal: refusals.Refusal) -> refusals.Refusal:
     """The refusal of a request whose claim could not be closed, so that a late copy of it may run."""
     return refusals.OutcomeUnknown(504, f'{refusal}; could not be made sure of')
 
@@ -32,11 +32,11 @@
 
     def begin_client_request(self, call_id: typing.Any, call: effects.HttpRequest) -> None:
         """A request of a client came."""
-        self.begin(Request(call_id, call, self.proxy.now, pipeline.PASSES))
+        self.begin(Request(call_id, call, self.proxy.now, pipeline.STAGES))
 
     def begin_open_request(self, call_id: typing.Any, call: effects.HttpRequest) -> None:
         """A request of open traffic came."""
-        self.begin(Request(call_id, call, self.proxy.now, open_pipeline.PASSES, is_open_traffic=True))
+        self.begin(Request(call_id, call, self.proxy.now, open_pipeline.STAGES, is_open_traffic=True))
 
     def is_pending(self, request: Request) -> bool:
         """Whether a request is not answered yet."""
@@ -50,14 +50,14 @@
         """Take a request on and run its passes."""
         self.requests[request.call_id] = request
         self.proxy.counts['requests'] += 1
-        self.run_passes(request)
+        self.run_stages(request)
 
-    def run_passes(self, request: Request) -> None:
+    def run_stages(self, request: Request) -> None:
         """Run passes from the request's position on, until one parks or refuses it or none is left."""
         request.waiting_for = Waiting.NOTHING
-        while request.position < len(request.passes):
+        while request.position < len(request.stages):
             try:
-                if not request.passes[request.position](self.proxy, request):
+                if not request.stages[request.position](self.proxy, request):
                     return
             except refusals.Refusal as refusal:
                 self.refuse(request, refusal)
@@ -66,8 +66,8 @@
 
     def resume(self, request: Request, at: typing.Callable | None = None) -> None:
         """Go on with the next pass, or with the named one."""
-        request.position = request.passes.index(at) if at else request.position + 1
-        self.run_passes(request)
+        request.position = request.stages.index(at) if at else request.position + 1
+        self.run_stages(request)
 
     # -- refusing ---------------------------------------------------------
 
@@ -91,17 +91,17 @@
         self.proxy.request_operation(
             'close',
             {'id': request.id, 'nonce': request.claim_nonce},
-            lambda result: self.claim_closed(request, refusal, result),
+            lambda result: self.handle_close_result(request, refusal, result),
         )
 
-    def claim_closed(self, request: Request, refusal: refusals.Refusal, result: dict) -> None:
+    def handle_close_result(self, request: Request, refusal: refusals.Refusal, result: dict) -> None:
         """The leader's answer to `close`."""
         is_closed = result['status'] == 200
         if self.is_pending(request):
-            self.respond_refusal(request, refusal if is_closed else unconfirmed(refusal))
+            self.respond_refusal(request, refusal if is_closed else unconfirmed_refusal(refusal))
             return
-        kept = self.proxy.at_most_once.kept_results.get(request.id)
-        if is_closed and kept is not None and kept.claim_nonce == request.claim_nonce:
+        stored = self.proxy.at_most_once.stored_results.get(request.id)
+        if is_closed and stored is not None and stored.claim_nonce == request.claim_nonce:
             # It was answered "unknown" for want of a leader, but it never ran, and the next attempt may.
             self.proxy.at_most_once.forget_result(request.id)
 
@@ -114,13 +114,13 @@
 
     # -- deadlines --------------------------------------------------------
 
-    def end_overdue(self) -> None:
+    def expire_requests(self) -> None:
         """Answer what has reached its deadline."""
         for request in [r for r in self.requests.values() if r.deadline and r.deadline <= self.proxy.now]:
             if request.is_open_traffic:
-                self.proxy.open_responses.deadline_passed(request)
+                self.proxy.open_responses.handle_deadline(request)
             else:
-                self.deadline_passed(request)
+                self.handle_deadline(request)
         # An owner that never answers must not leave its query behind.
         self.proxy.at_most_once.result_queries = {
             k: r for k, r in self.proxy.at_most_once.result_queries.items() if r.call_id in self.requests
@@ -129,7 +129,7 @@
         if times:
             self.proxy.set_timer_by('deadlines', min(times))
 
-    def deadline_passed(self, request: Request) -> None:
+    def handle_deadline(self, request: Request) -> None:
         """Give up a client's request by what it waits for; a claim's answer has a timer of its own."""
         waiting_for = request.waiting_for
         if waiting_for is Waiting.CREDIT:
@@ -139,7 +139,7 @@
             self.refuse(request, refusals.DeadlineExceeded(outcome=refusals.UNKNOWN))
         elif waiting_for is Waiting.CLAIM_CLOSED:
             assert request.refusal is not None
-            self.respond_refusal(request, unconfirmed(request.refusal))
+            self.respond_refusal(request, unconfirmed_refusal(request.refusal))
         elif waiting_for is Waiting.OWNER:
             self.refuse(request, refusals.OutcomeUnknown(504, 'the outcome did not come in time'))
         elif waiting_for is Waiting.NOTHING and request.fetch_id in self.proxy.upstream.fetches:
--- a/zinctrail/proxy/retry_budget.py
+++ b/zinctrail/proxy/retry_budget.py
@@ -13,13 +13,13 @@
 Request = request_record.Request
 # How many ids of requests without a claim are remembered. One that is forgotten sooner counts as a first attempt
 # again, which widens the budget a little.
-RECENT_IDS_MOST = 20000
+MAX_RECENT_IDS = 20000
 # What is earned counts as a whole retry from here on: five times a fifth must make one.
 ONE_RETRY = 1 - 1e-6
 # Bounds of the time after which a refused retry may come again.
-RETRY_WAIT_LEAST = durations.ms(200)
-RETRY_WAIT_UNKNOWN = durations.ms(500)
-RETRY_WAIT_MOST = durations.ms(1000)
+MIN_RETRY_WAIT = durations.ms(200)
+DEFAULT_RETRY_WAIT = durations.ms(500)
+MAX_RETRY_WAIT = durations.ms(1000)
 
 
 class RetryBudget:
@@ -35,13 +35,13 @@
         self.settings = bounds
         # Retries that are earned and not spent, and how many may be saved up.
         self.earned = 0.0
-        self.earned_most = 1
+        self.max_earned = 1
         # When retries that nothing earned were sent, within the window.
         self.borrowed: collections.deque[datetime.timedelta] = collections.deque()
 
     def earn(self) -> None:
         """A first attempt is sent."""
-        self.earned = min(self.earned_most, self.earned + self.settings.repeat_share)
+        self.earned = min(self.max_earned, self.earned + self.settings.repeat_share)
 
     def return_earned(self) -> None:
         """The last first attempt reached no endpoint."""
@@ -51,10 +51,10 @@
         """Whether one more retry fits; `proxies` share the fixed allowance (0: none of it is ours)."""
         # Rounded down: the shares of all proxies together must not exceed the whole.
         share = self.settings.repeat_allowance // proxies if proxies else 0
-        self.earned_most = max(1, share // 2)
+        self.max_earned = max(1, share // 2)
         while self.borrowed and self.borrowed[0] <= now - self.settings.repeat_window:
             self.borrowed.popleft()
-        return self.earned > ONE_RETRY or len(self.borrowed) < share - self.earned_most
+        return self.earned > ONE_RETRY or len(self.borrowed) < share - self.max_earned
 
     def spend(self, now: datetime.timedelta) -> None:
         """A retry is sent."""
@@ -66,11 +66,11 @@
     def retry_wait(self, now: datetime.timedelta) -> datetime.timedelta:
         """When a retry may fit again: first attempts may earn it before, so it is never long."""
         if not self.borrowed:
-            return RETRY_WAIT_UNKNOWN
-        return min(RETRY_WAIT_MOST, max(RETRY_WAIT_LEAST, self.borrowed[0] + self.settings.repeat_window - now))
+            return DEFAULT_RETRY_WAIT
+        return min(MAX_RETRY_WAIT, max(MIN_RETRY_WAIT, self.borrowed[0] + self.settings.repeat_window - now))
 
 
-class BudgetSharers:
+class ProxyCountHistory:
     """How many proxies share the fixed allowance: the most that there were within the window."""
 
     def __init__(self, bounds: settings.Settings, began: datetime.timedelta):
@@ -102,17 +102,17 @@
         super().__init__(proxy)
         # {service: its budget}.
         self.budgets: dict[str, RetryBudget] = {}
-        self.sharers = BudgetSharers(proxy.settings, proxy.now)
+        self.proxy_counts = ProxyCountHistory(proxy.settings, proxy.now)
         # Ids of requests that need no claim: {id: (call id of the first, when it came)}, oldest first.
         self.recent_ids: collections.OrderedDict[str, tuple] = collections.OrderedDict()
 
     def start(self) -> None:
         """The process starts: the window in which it uses nothing of the fixed allowance counts from now."""
-        self.sharers = BudgetSharers(self.proxy.settings, self.proxy.now)
+        self.proxy_counts = ProxyCountHistory(self.proxy.settings, self.proxy.now)
 
     def observe_proxies(self) -> None:
         """A version of the state came into force: note how many proxies share the fixed allowance."""
-        self.sharers.observe(self.proxy.now, len(self.proxy.routes.members(member_roles.PROXY)))
+        self.proxy_counts.observe(self.proxy.now, len(self.proxy.routes.members(member_roles.PROXY)))
 
     def budget_of(self, pool: str) -> RetryBudget:
         """The budget of a pool's service."""
@@ -128,7 +128,7 @@
         :raises refusals.Unavailable: if it does not.
         """
         budget = self.budget_of(request.pool)
-        if not budget.allows(self.proxy.now, self.sharers.count(self.proxy.now)):
+        if not budget.allows(self.proxy.now, self.proxy_counts.count(self.proxy.now)):
             self.proxy.counts['repeats_dropped'] += 1
             raise refusals.Unavailable(
                 'too many repeats to this service', durations.to_ms(budget.retry_wait(self.proxy.now))
@@ -143,7 +143,7 @@
         first_call, seen_at = self.recent_ids.get(request.id, (request.call_id, self.proxy.now))
         self.recent_ids[request.id] = (first_call, seen_at)
         while self.recent_ids and (
-            len(self.recent_ids) > RECENT_IDS_MOST
+            len(self.recent_ids) > MAX_RECENT_IDS
             or next(iter(self.recent_ids.values()))[1] <= self.proxy.now - self.proxy.settings.repeat_window
         ):
             self.recent_ids.popitem(last=False)
--- a/zinctrail/proxy/shutdown.py
+++ b/zinctrail/proxy/shutdown.py
@@ -6,9 +6,9 @@
 import zinctrail.runtime.effects as effects
 
 # What the exit itself takes at the end of the grace: the `leave` frame and the last responses.
-EXIT_TIME = durations.ms(600)
+EXIT_MARGIN = durations.ms(600)
 # How often it is looked whether all requests are answered.
-DRAIN_CHECK = durations.ms(50)
+DRAIN_CHECK_INTERVAL = durations.ms(50)
 # How long the last frames and responses have to leave the process.
 EXIT_WAIT = durations.ms(200)
 
@@ -22,7 +22,7 @@
         # Whether open traffic is refused, because the process ends soon.
         self.refuses_open_traffic = False
         # When the process exits at the latest, with requests in flight or not; set once it is told to stop.
-        self.finish_by = durations.ZERO
+        self.drain_deadline = durations.ZERO
 
     def begin(self) -> None:
         """Refuse what is new before long, and end the process once the rest is answered."""
@@ -41,7 +41,7 @@
         # requests that came last.
         settings = self.proxy.settings
         self.proxy.set_timer('drain', min(settings.answer + settings.check * 2, settings.grace / 2))
-        self.finish_by = self.proxy.now + settings.grace - EXIT_TIME
+        self.drain_deadline = self.proxy.now + settings.grace - EXIT_MARGIN
         if self.proxy.location.front:
             self.proxy.out.append(effects.DrainOpenTraffic())
 
@@ -51,8 +51,8 @@
             # New requests are refused first: while they are accepted the table may never be empty.
             self.refuses_open_traffic = True
             self.proxy.out.append(effects.DrainOpenTraffic(shut=True))
-        if self.proxy.runner.requests and self.proxy.now < self.finish_by:
-            self.proxy.set_timer('drain', DRAIN_CHECK)
+        if self.proxy.runner.requests and self.proxy.now < self.drain_deadline:
+            self.proxy.set_timer('drain', DRAIN_CHECK_INTERVAL)
             return
         if self.proxy.leader:
             self.proxy.send_message(self.proxy.leader['addr'], messages.Leave())
--- a/zinctrail/proxy/slow_start.py
+++ b/zinctrail/proxy/slow_start.py
@@ -23,7 +23,7 @@
 DEFAULT_RATE = 1
 
 
-class ColdShare(typing.NamedTuple):
+class WarmUpShare(typing.NamedTuple):
     """This proxy's share of a cold endpoint: whether it may send to it, and the least time between two requests."""
 
     is_sender: bool
@@ -36,19 +36,19 @@
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
         """Set up before the first version of the state."""
         super().__init__(proxy)
-        # {incarnation: ColdShare}, for the version in force.
-        self.cold_shares: dict[str, ColdShare] = {}
+        # {incarnation: WarmUpShare}, for the version in force.
+        self.warm_up_shares: dict[str, WarmUpShare] = {}
         # {incarnation that is cold: whether this proxy may send to it}, for the version in force.
-        self.is_cold_sender: dict[str, bool] = {}
+        self.is_warm_up_sender: dict[str, bool] = {}
 
-    def cold_interval(self, incarnation: str, row: rows.EndpointRow) -> datetime.timedelta | None:
+    def warm_up_interval(self, incarnation: str, row: rows.EndpointRow) -> datetime.timedelta | None:
         """The least time between two of our requests to a cold endpoint; None where others send to it."""
-        share = self.cold_shares.get(incarnation)
+        share = self.warm_up_shares.get(incarnation)
         if share is None:
-            share = self.cold_shares[incarnation] = self.derive_cold_share(incarnation, row)
+            share = self.warm_up_shares[incarnation] = self.derive_warm_up_share(incarnation, row)
         return share.interval if share.is_sender else None
 
-    def derive_cold_share(self, incarnation: str, row: rows.EndpointRow) -> ColdShare:
+    def derive_warm_up_share(self, incarnation: str, row: rows.EndpointRow) -> WarmUpShare:
         """Work out which proxies send to it, and how often."""
         routes = self.proxy.routes
         rate = (routes.item(f'pools/{row["service"]}') or {}).get('cold_per_s') or DEFAULT_RATE
@@ -56,7 +56,7 @@
         members = routes.members(member_roles.PROXY).values()
         interval = SECOND * max(1, min(senders, len(members))) / rate
         if len(members) <= senders:
-            return ColdShare(True, interval)
+            return WarmUpShare(True, interval)
         region = routes.region_of(row['cell'])
         # Proxies of its region come first, because they have the most traffic for it. The rest of the order is by
         # address, so that a proxy that restarts keeps its place.
@@ -68,25 +68,25 @@
             )
             for member in members
         )
-        return ColdShare(any(addr == self.proxy.location.addr for _, _, addr in ranked[:senders]), interval)
+        return WarmUpShare(any(addr == self.proxy.location.addr for _, _, addr in ranked[:senders]), interval)
 
     def is_throttled(self, incarnation: str, row: rows.EndpointRow) -> bool:
         """Whether it is cold, and this proxy may not send to it now."""
         if not row.get('chill'):
             return False
-        interval = self.cold_interval(incarnation, row)
+        interval = self.warm_up_interval(incarnation, row)
         return (
             interval is None or self.proxy.now < self.proxy.endpoint_selection.view_of(incarnation).sent_at + interval
         )
 
     def update(self) -> None:
         """A version of the state came into force: note who is cold, and what this proxy may send now."""
-        self.cold_shares = {}
-        before, self.is_cold_sender = self.is_cold_sender, {}
+        self.warm_up_shares = {}
+        before, self.is_warm_up_sender = self.is_warm_up_sender, {}
         for incarnation, row in self.proxy.routes.replica.get('endpoints').items():
             if row.get('chill'):
-                is_sender = self.cold_interval(incarnation, row) is not None
-                self.is_cold_sender[incarnation] = is_sender
+                is_sender = self.warm_up_interval(incarnation, row) is not None
+                self.is_warm_up_sender[incarnation] = is_sender
                 if is_sender and before.get(incarnation) is False:
                     # Wait for an interval first: the proxy in whose place this one comes may have sent just now.
                     self.proxy.endpoint_selection.view_of(incarnation).sent_at = self.proxy.now
--- a/zinctrail/proxy/upstream.py
+++ b/zinctrail/proxy/upstream.py
@@ -17,13 +17,13 @@
 # Headers of the caller that the endpoint gets.
 PASSED_HEADERS = ('content-type', 'accept', 'zt-labels', 'zt-home')
 # How long an endpoint that could not be reached is left out.
-UNREACHABLE_REST = durations.ms(3000)
+UNREACHABLE_BACKOFF = durations.ms(3000)
 # How long a slot stays reserved after its response was lost: a multiple of the usual time, but not less than this.
-RESERVED_TIMES = 4
-RESERVED_LEAST_MS = 100
+RESERVED_LATENCY_FACTOR = 4
+MIN_RESERVED_MS = 100
 # The weight of one more response in the usual time of a pool is 1 / SMOOTHING.
 SMOOTHING = 8
-REPORTED_LOAD_MOST = 1000.0
+MAX_REPORTED_LOAD = 1000.0
 # How many sends the free retry after an unreachable endpoint may follow.
 FREE_RETRY_SENDS = 2
 
@@ -68,7 +68,7 @@
         request.send_count += 1
         request.fetch_id = self.proxy.next_number()
         self.fetches[request.fetch_id] = Fetch(request, request.pool, request.incarnation, self.proxy.now)
-        left = request.deadline - self.proxy.now
+        remaining = request.deadline - self.proxy.now
         self.proxy.counts['sends'] += 1
         request.sent_at = self.proxy.now
         # The fetch may last longer than the caller waits: until the endpoint is done, its work counts as credit in use.
@@ -79,27 +79,27 @@
                 request.incarnation,
                 request.call.method,
                 request.path,
-                self.upstream_headers(request, left),
+                self.upstream_headers(request, remaining),
                 request.call.body,
-                left + self.proxy.settings.linger,
+                remaining + self.proxy.settings.linger,
             )
         )
 
-    def upstream_headers(self, request: Request, left: datetime.timedelta) -> dict[str, str]:
+    def upstream_headers(self, request: Request, remaining: datetime.timedelta) -> dict[str, str]:
         """The headers that the endpoint gets."""
         headers = {
             'zt-id': request.id,
             'zt-attempt': str(request.attempt),
             'zt-inc': request.incarnation,
             'zt-once': '1' if request.at_most_once else '0',
-            'zt-left-ms': str(max(1, durations.to_ms(left))),
+            'zt-left-ms': str(max(1, durations.to_ms(remaining))),
         }
         for name in PASSED_HEADERS:
             if name in request.call.headers:
                 headers[name] = request.call.headers[name]
         return headers
 
-    def fetched(self, fetch_id: int, result: effects.HttpResult) -> None:
+    def handle_fetch_result(self, fetch_id: int, result: effects.HttpResult) -> None:
         """A fetch ended."""
         fetch = self.fetches.pop(fetch_id)
         request = fetch.request
@@ -113,7 +113,7 @@
             request.result = result
             self.proxy.runner.resume(request)
         else:
-            self.keep_late_result(request, result)
+            self.store_late_result(request, result)
         self.proxy.credit.retry_queued(fetch.pool)
 
     def cancel(self, request: Request) -> None:
@@ -132,7 +132,7 @@
         if not (result.fault and result.sent and self.proxy.routes.endpoint(fetch.incarnation)):
             self.release_slot(pool, fetch.incarnation)
             return
-        usual = durations.ms(max(RESERVED_LEAST_MS, RESERVED_TIMES * pool.took_ms))
+        usual = durations.ms(max(MIN_RESERVED_MS, RESERVED_LATENCY_FACTOR * pool.latency_ms))
         until = self.proxy.now + min(self.proxy.settings.linger, usual)
         self.reserved_slots.append(ReservedSlot(until, fetch.pool, fetch.incarnation))
         self.proxy.set_timer_by('reserved_slots', until)
@@ -142,12 +142,12 @@
         pool = self.proxy.credit.pool_credit(fetch.pool)
         if not result.fault:
             # Smoothed: one slow response must not close a pool, a run of them should.
-            took = durations.to_ms(self.proxy.now - fetch.sent_at)
-            pool.took_ms += (took - pool.took_ms) / SMOOTHING if pool.took_ms else took
+            latency_ms = durations.to_ms(self.proxy.now - fetch.sent_at)
+            pool.latency_ms += (latency_ms - pool.latency_ms) / SMOOTHING if pool.latency_ms else latency_ms
         if 'zt-pressure' in result.headers:
             try:
                 load = float(result.headers['zt-pressure'])
-                self.reported_load[fetch.incarnation] = min(REPORTED_LOAD_MOST, max(0.0, load))
+                self.reported_load[fetch.incarnation] = min(MAX_REPORTED_LOAD, max(0.0, load))
             except ValueError:
                 self.proxy.counts['garbled'] += 1
 
@@ -160,11 +160,11 @@
 
     def release_reserved_slots(self) -> None:
         """Release slots whose work has surely ended by now."""
-        over = [slot for slot in self.reserved_slots if slot.until <= self.proxy.now]
+        expired = [slot for slot in self.reserved_slots if slot.until <= self.proxy.now]
         self.reserved_slots = [slot for slot in self.reserved_slots if slot.until > self.proxy.now]
-        for slot in over:
+        for slot in expired:
             self.release_slot(self.proxy.credit.pool_credit(slot.pool), slot.incarnation)
-        for pool in sorted({slot.pool for slot in over}):
+        for pool in sorted({slot.pool for slot in expired}):
             self.proxy.credit.retry_queued(pool)
         if self.reserved_slots:
             self.proxy.set_timer_by('reserved_slots', min(slot.until for slot in self.reserved_slots))
@@ -179,21 +179,21 @@
         self.unreachable_until = {i: at for i, at in self.unreachable_until.items() if at > self.proxy.now}
         self.incarnations = incarnations
 
-    def keep_late_result(self, request: Request, result: effects.HttpResult) -> None:
+    def store_late_result(self, request: Request, result: effects.HttpResult) -> None:
         """A response that came after its caller was answered "unknown": the next attempt gets it."""
-        kept = self.proxy.at_most_once.kept_results.get(request.id) if request.claim_nonce else None
-        if kept is None or kept.is_running or not kept.response:
+        stored = self.proxy.at_most_once.stored_results.get(request.id) if request.claim_nonce else None
+        if stored is None or stored.is_running or not stored.response:
             return
-        if kept.response.headers['zt-outcome'] != refusals.UNKNOWN:
+        if stored.response.headers['zt-outcome'] != refusals.UNKNOWN:
             return
-        if not pipeline.fault_of(request, result) and result.headers['zt-outcome'] == refusals.RAN:
+        if not pipeline.response_error(request, result) and result.headers['zt-outcome'] == refusals.RAN:
             self.proxy.at_most_once.replace_response(
-                kept, result.status, client_responses.passed_headers(result), result.body
+                stored, result.status, client_responses.passed_headers(result), result.body
             )
 
     def mark_unreachable(self, incarnation: str) -> None:
         """Leave an endpoint out for a while, and have the leader look at it."""
-        self.unreachable_until[incarnation] = self.proxy.now + UNREACHABLE_REST
+        self.unreachable_until[incarnation] = self.proxy.now + UNREACHABLE_BACKOFF
         self.report_unreachable(incarnation)
 
     def report_unreachable(self, incarnation: str) -> None:
