--- a/zinctrail/client/__init__.py
+++ b/zinctrail/client/__init__.py
@@ -1,1 +1,1 @@
-"""Libraries that applications link: clients that send requests, endpoints that serve them, coordination."""
+"""Libraries that applications link: sending requests as a client, serving them as an endpoint, coordination."""
--- a/zinctrail/client/admission.py
+++ b/zinctrail/client/admission.py
@@ -1,4 +1,4 @@
-"""Which requests an endpoint runs, without I/O: it refuses what is not meant for it, and seals responses.
+"""Admission of requests at an endpoint, without I/O: refuses requests that it must not run, and seals responses.
 
 The application's handler runs only between `admit` and `seal_response`.
 """
@@ -11,16 +11,17 @@
 import zinctrail.client.seal as seal
 import zinctrail.runtime.parsing as parsing
 
-# Enough that ids are remembered well beyond the control plane's retention of claims.
+# High enough that ids are remembered for much longer than the control plane retains claims.
 MAX_REMEMBERED_IDS = 200000
-# Requests beyond the slots are queued by the application up to this share of its capacity.
+# The load up to which requests are admitted, as a multiple of the capacity; the application queues those beyond the
+# slots.
 OVERLOAD_FACTOR = 1.5
-# Characters of an incarnation's id.
+# Characters in the id of an incarnation.
 INCARNATION_LENGTH = 16
 
 
 class SealedResponse(typing.NamedTuple):
-    """A response as it goes out."""
+    """A response with its seal, ready to be sent."""
 
     status: int
     headers: dict[str, str]
@@ -28,9 +29,9 @@
 
 
 class Admission:
-    """An endpoint's present incarnation: what it serves, what it has run, what it reports in heartbeats.
+    """Holds the state of an endpoint's current incarnation: its service, the ids that ran, the load, heartbeat fields.
 
-    `state` is 'ready', 'draining' or 'leaving'; `cold` is how much of the warm-up is left, from 1 to 0.
+    `state` is 'ready', 'draining' or 'leaving'; `cold` is the remaining fraction of the warm-up, from 1 to 0.
     """
 
     def __init__(
@@ -45,10 +46,10 @@
         self.address = address
         self.service = service
         self.zone = zone
-        # How many requests it runs at a time.
+        # How many requests the endpoint runs concurrently.
         self.slots = slots
         self.labels = dict(labels or {})
-        # For simulations; by default ids are random by the operating system.
+        # The source of incarnation ids in simulations; None: the operating system's random numbers.
         self.rng = rng
         self.state = 'ready'
         self.cold = 0.0
@@ -56,14 +57,14 @@
         self.start_incarnation()
 
     def start_incarnation(self) -> None:
-        """Begin a new incarnation: at start, or after the present one was declared gone."""
+        """Begin a new incarnation: at the start, or after the control plane removed the current one."""
         made = uuid.UUID(int=self.rng.getrandbits(128)) if self.rng else uuid.uuid4()
         self.incarnation = made.hex[:INCARNATION_LENGTH]
-        # The ids of requests that ran here, oldest first; the values mean nothing.
+        # The ids of requests that ran in this incarnation, oldest first; the values are not used.
         self.executed_ids: collections.OrderedDict[str, bool] = collections.OrderedDict()
 
     def heartbeat(self) -> dict:
-        """The body of a heartbeat, POST /v1/beat (docs/interface.md)."""
+        """Return the body of a heartbeat, POST /v1/beat (docs/interface.md)."""
         return {
             'inc': self.incarnation,
             'addr': self.address,
@@ -76,26 +77,29 @@
         }
 
     def liveness(self) -> SealedResponse:
-        """The response to GET /zt/live: which incarnation listens here."""
+        """Return the response to GET /zt/live, which names the incarnation that listens at the address."""
         return SealedResponse(200, {'zt-inc': self.incarnation}, b'')
 
     def capacity(self) -> float:
-        """How many requests it can run at a time; fewer while it warms up."""
+        """Return how many requests the endpoint can run concurrently; fewer while it is warming up."""
         return max(1, self.slots * (1 - self.cold))
 
     def is_full(self) -> bool:
-        """Whether one more request would be too many.
+        """True if one more request would overload the endpoint.
 
-        Proxies count as well, but one that gave up on a response can't know that the work goes on.
+        Proxies limit requests as well, but a proxy that stopped waiting for a response can't know that it still runs.
         """
         return self.running + 1 > OVERLOAD_FACTOR * self.capacity() and self.running > 0
 
     def admit(self, headers: dict[str, str]) -> SealedResponse | None:
-        """None if the request is to run, then call `seal_response`; otherwise the response that refuses it."""
+        """Admit or refuse a request.
+
+        Returns None if the request is to run; call `seal_response` after it. Otherwise returns the refusing response.
+        """
         request_id = headers.get('zt-id', '')
         reason = self._reason_to_refuse(headers)
         if reason is None and request_id in self.executed_ids and headers.get('zt-once', '1') == '1':
-            # An error rather than "not run": it did run here.
+            # An error instead of the outcome "not-run", because the request did run here.
             return self.sealed(409, headers, 'ran', b'{"fault": "this id ran here before"}')
         if reason is None and self.is_full():
             reason = 'full'
@@ -108,9 +112,9 @@
         return None
 
     def _reason_to_refuse(self, headers: dict[str, str]) -> str | None:
-        """Why a request can not run here, whatever ran before and however full it is."""
+        """Return why a request can not run here, regardless of earlier requests and of the load; None if it can."""
         if headers.get('zt-inc') != self.incarnation:
-            # It was meant for the process that had this address before.
+            # The request was meant for the process that had this address before.
             return 'meant for another incarnation'
         if not headers.get('zt-id'):
             return 'without an id'
@@ -123,7 +127,7 @@
     def seal_response(
         self, headers: dict[str, str], status: int, body: bytes, content_type: str = 'application/json'
     ) -> SealedResponse:
-        """The handler's response, sealed, to the admitted request that had `headers`."""
+        """End the admitted request that had `headers`, and return the handler's response with its seal."""
         self.running -= 1
         return self.sealed(status, headers, 'ran', body, content_type)
 
@@ -135,13 +139,13 @@
         body: bytes,
         content_type: str = 'application/json',
     ) -> SealedResponse:
-        """A sealed response to the request that had `headers`; `outcome` is 'ran' or 'not-run'."""
+        """Return a sealed response to the request that had `headers`; `outcome` is 'ran' or 'not-run'."""
         response_headers = {
             'zt-id': headers.get('zt-id', ''),
             'zt-attempt': headers.get('zt-attempt', ''),
             'zt-inc': self.incarnation,
             'zt-outcome': outcome,
-            # The load: 1 where every slot is in use.
+            # The load; 1 if every slot is in use.
             'zt-pressure': f'{self.running / self.slots:.3f}',
             'content-type': content_type,
         }
--- a/zinctrail/client/coordination.py
+++ b/zinctrail/client/coordination.py
@@ -1,7 +1,8 @@
-"""The client library for coordination: locks with fencing tokens, counters, small keys, watches.
+"""The client library for coordination: locks with fencing tokens, counters, a small key-value store, watches.
 
-Every call that acts carries an id, and is retried at any directory until its
-result is known or its time is over; the id keeps it from acting twice.
+Every call that changes state carries an id, and is retried at any directory
+until its result is known or its timeout ends; because of the id it takes effect
+only once.
 """
 
 import datetime
@@ -20,14 +21,15 @@
 import zinctrail.transport.twisted_types as twisted_types
 
 DEFAULT_TIMEOUT = durations.ms(5000)
-# The longest that one attempt waits before the next directory is asked.
+# The longest that one attempt takes before the next directory is tried.
 ATTEMPT_TIMEOUT = durations.ms(2000)
 RETRY_PAUSE = durations.ms(100)
 LOCK_TIMEOUT = durations.ms(2000)
-# How much longer than its own wait a watch may take, over all attempts.
+# How much longer than its wait time a watch may take, over all attempts.
 WATCH_MARGIN = durations.ms(10000)
 ID_BITS = 96
-# Nobody answered, or an answer that says to try again later: the result is not known yet.
+# Statuses after which a call is retried: no valid response (0), or a response that says to retry later. The result is
+# not known yet.
 RETRIED_STATUSES = (0, 503, 504)
 
 # A JSON document of the HTTP interface.
@@ -35,9 +37,9 @@
 
 
 class CoordinationClient:
-    """Calls of one application. Each method returns a Deferred and raises errors.CoordinationError.
+    """The coordination client of one application. Its calls return Deferreds and raise errors.CoordinationError.
 
-    `timeout` is for the whole call, with its retries.
+    `timeout` is for the whole call, including its retries.
     """
 
     def __init__(
@@ -49,18 +51,18 @@
         rng: random.Random | None = None,
     ):
         self.reactor = reactor
-        # The one that answered last comes first.
+        # The directory that responded last comes first.
         self.directories = list(directories)
         self.fetcher: http_client.Fetcher = fetcher or http_client.HttpClient(reactor)
         self.clock = clock
         self.rng = rng or random.SystemRandom()
 
     def now(self) -> datetime.timedelta:
-        """The time on the client's clock."""
+        """Return the time on the client's clock."""
         return datetime.timedelta(seconds=self.clock())
 
     def sleep(self, delay: datetime.timedelta) -> defer.Deferred[None]:
-        """A Deferred that fires after a delay."""
+        """Return a Deferred that fires after a delay."""
         return task.deferLater(self.reactor, max(0.0, delay.total_seconds()))
 
     @defer.inlineCallbacks
@@ -72,10 +74,10 @@
         timeout: datetime.timedelta = DEFAULT_TIMEOUT,
         attempt_timeout: datetime.timedelta = ATTEMPT_TIMEOUT,
     ) -> twisted_types.Steps[tuple[datetime.timedelta, Document]]:
-        """Make a call that may be retried: (when the attempt that succeeded was sent, its JSON result)."""
+        """Make a call that may be retried. Returns (when the successful attempt was sent, its JSON result)."""
         deadline = self.now() + timeout
         status: int = 0
-        document: Document = {'fault': 'nobody answers'}
+        document: Document = {'fault': 'no directory responds'}
         data = json.dumps(body).encode() if body is not None else b''
         while self.now() < deadline:
             sent_at = self.now()
@@ -94,14 +96,14 @@
                     return sent_at, document
                 if status not in RETRIED_STATUSES:
                     raise errors.CoordinationError(status, document)
-            # The next directory is asked, since this one may be partitioned; the id makes that safe.
+            # The next directory is tried, since this one may be partitioned; the id makes the retry safe.
             self.directories.append(self.directories.pop(0))
             yield self.sleep(min(RETRY_PAUSE, deadline - self.now()))
         raise errors.CoordinationError(status, document)
 
     @defer.inlineCallbacks
     def new_id(self, timeout: datetime.timedelta) -> twisted_types.Steps[str]:
-        """An id for a call: EPOCH.RANDOM, where the epoch says until when its result is remembered."""
+        """Return an id for a call: EPOCH.RANDOM, where the epoch determines how long its result is retained."""
         _, document = yield self.call('GET', '/v1/epoch', None, timeout)
         return f'{document["epoch"]}.{self.rng.getrandbits(ID_BITS):024x}'
 
@@ -109,7 +111,7 @@
     def call_once(
         self, path: str, body: Document, timeout: datetime.timedelta = DEFAULT_TIMEOUT
     ) -> twisted_types.Steps[Document]:
-        """Make a call that acts, under a new id: its retries act once in all. Returns its JSON result."""
+        """Make a call that changes state, under a new id, so that it takes effect once. Returns its JSON result."""
         deadline = self.now() + timeout
         call_id = yield self.new_id(timeout)
         _, document = yield self.call('POST', path, dict(body, id=call_id), deadline - self.now())
@@ -119,13 +121,16 @@
     def next_number(
         self, name: str, increment: int = 1, timeout: datetime.timedelta = DEFAULT_TIMEOUT
     ) -> twisted_types.Steps[int]:
-        """Raise a counter and return its number, above all that were returned before."""
+        """Increment a counter and return its value, which is above all values that were returned before."""
         document = yield self.call_once('/v1/number/next', {'name': name, 'by': increment}, timeout)
         return document['number']
 
     @defer.inlineCallbacks
     def get(self, key: str, timeout: datetime.timedelta = DEFAULT_TIMEOUT) -> twisted_types.Steps[Document]:
-        """{value, rev, head}: a key's value and revision, None and 0 where it is absent; `head` is where to watch from."""
+        """Return {value, rev, head}: a key's value and revision, None and 0 if it is absent.
+
+        `head` is the revision from which to watch the key.
+        """
         try:
             _, document = yield self.call('POST', '/v1/key/get', {'key': key}, timeout)
         except errors.CoordinationError as error:
@@ -138,7 +143,7 @@
     def put(
         self, key: str, value: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
     ) -> twisted_types.Steps[int]:
-        """Write a key and return its new revision; with `revision`, only if it is at that one (0: absent)."""
+        """Write a key and return its new revision; with `revision`, only if the key is at that revision (0: absent)."""
         body: Document = {'key': key, 'value': value}
         if revision is not None:
             body['rev'] = revision
@@ -149,7 +154,7 @@
     def remove(
         self, key: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
     ) -> twisted_types.Steps[int]:
-        """Remove a key and return the removal's revision; with `revision`, only if it is at that one."""
+        """Remove a key and return the removal's revision; with `revision`, only if the key is at that revision."""
         body: Document = {'key': key} if revision is None else {'key': key, 'rev': revision}
         document = yield self.call_once('/v1/key/drop', body, timeout)
         return document['rev']
@@ -158,9 +163,9 @@
     def watch(
         self, prefix: str, since: int, wait: datetime.timedelta = durations.ms(5000)
     ) -> twisted_types.Steps[Document]:
-        """The events after revision `since`, {events, head}; waits while there are none. Continue from `head`.
+        """Return the events after revision `since`, {events, head}; wait while there are none. Continue from `head`.
 
-        Status 410 of the error says that the history no longer reaches back that far.
+        The error has status 410 if the retained history does not reach back to `since`.
         """
         _, document = yield self.call(
             'POST',
@@ -172,22 +177,22 @@
         return document
 
     def lock(self, name: str, owner: str, lease: datetime.timedelta = durations.ms(5000)) -> 'Lock':
-        """A lock for one owner; nothing is sent before `acquire`."""
+        """Return a lock object for one owner; nothing is sent before `acquire`."""
         return Lock(self, name, owner, lease)
 
 
 class Lock:
-    """A lock as its owner may rely on it: never for longer than the control plane reserves it."""
+    """The owner's view of a lock: it is held here never longer than the control plane reserves it."""
 
     def __init__(self, client: CoordinationClient, name: str, owner: str, lease: datetime.timedelta):
         self.client, self.name, self.owner, self.lease = client, name, owner, lease
         self.expires_at: datetime.timedelta | None = None
         self.fencing_token: int | None = None
-        # Which acquisition is the newest; a release names it.
+        # The id of the newest acquisition, which a release names.
         self.acquisition: str | None = None
 
     def is_held(self) -> bool:
-        """Whether the owner may still rely on it."""
+        """True if the owner still holds the lock."""
         return self.expires_at is not None and self.client.now() < self.expires_at
 
     @defer.inlineCallbacks
@@ -206,15 +211,16 @@
                 self.expires_at = None
                 return False
             raise
-        # Counted from the sending: the control plane counts from later, so it expires here first.
+        # The lease counts from when the call was sent. The control plane counts from later, so the lock expires here
+        # first.
         self.expires_at = sent_at + self.lease
         self.fencing_token, self.acquisition = document['fence'], document['take']
         return self.is_held()
 
     @defer.inlineCallbacks
     def release(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.Steps[None]:
-        """Give the lock up."""
-        # Before the call: from the moment it is sent, another owner may hold the lock.
+        """Release the lock."""
+        # Cleared before the call, because another owner may hold the lock from the moment the call is sent.
         self.expires_at = self.fencing_token = None
         acquisition, self.acquisition = self.acquisition, None
         if acquisition is not None:
@@ -223,8 +229,8 @@
 
 
 def _parse_response(response: effects.HttpResult) -> tuple[int, Document]:
-    """(status, JSON document) of a response; status 0 if it is not JSON."""
+    """Return (status, JSON document) of a response; the status is 0 if the body is not JSON."""
     try:
         return response.status, json.loads(response.body)
     except ValueError:
-        return 0, {'fault': 'a reply that is not JSON'}
+        return 0, {'fault': 'response is not JSON'}
--- a/zinctrail/client/endpoint.py
+++ b/zinctrail/client/endpoint.py
@@ -27,7 +27,7 @@
 
 HEARTBEAT_TIMEOUT = durations.ms(1500)
 BODY_LIMIT_BYTES = 1 << 20
-# How often a draining endpoint looks whether its last request has ended.
+# How often a draining endpoint checks whether its last request has ended.
 DRAIN_POLL_SECONDS = 0.05
 
 # What a handler returns: the HTTP status and the body.
@@ -38,7 +38,7 @@
 
 
 class Endpoint:
-    """One endpoint: a listening port, and heartbeats to any directory that answers."""
+    """An endpoint: listens on a port, and sends heartbeats to any directory that responds."""
 
     def __init__(
         self,
@@ -55,17 +55,17 @@
         self.reactor = reactor
         self.admission = admission.Admission(address, service, zone, slots, labels)
         self.handler = handler
-        # The one that answered last comes first.
+        # The directory that responded last comes first.
         self.directories = list(directories)
         self.heartbeat_interval = heartbeat_interval
         self.fetcher = http_client.HttpClient(reactor)
         self.heartbeats = task.LoopingCall(self.send_heartbeat)
         self.heartbeats.clock = reactor
-        # The listening port, from `start` on.
+        # The listening port; None before `start`.
         self.port: tcp.Port | None = None
 
     def start(self) -> None:
-        """Listen, and send heartbeats from now on."""
+        """Start to listen and to send heartbeats."""
         host, port = peer_connections.split_address(self.admission.address)
         site = web.make_site(RequestResource(self), BODY_LIMIT_BYTES, self.reactor)
         self.port = self.reactor.listenTCP(port, site, interface=host)
@@ -73,7 +73,7 @@
 
     @defer.inlineCallbacks
     def send_heartbeat(self) -> twisted_types.Steps[None]:
-        """Report the present state to the first directory that takes it."""
+        """Send a heartbeat with the current state to the first directory that accepts it."""
         body = json.dumps(self.admission.heartbeat()).encode()
         for _ in range(len(self.directories)):
             response = yield self.fetcher.fetch(
@@ -86,28 +86,31 @@
                 HEARTBEAT_TIMEOUT,
             )
             if response.status == 410:
-                # An incarnation that was declared gone stays gone, so this process goes on as a new one.
-                logging.warning('endpoint: this incarnation was declared gone; continues as a new one.')
+                # An incarnation that the control plane removed never comes back, so this process begins a new one.
+                logging.warning(
+                    'endpoint: incarnation %s was removed by the control plane; continuing with a new incarnation.',
+                    self.admission.incarnation,
+                )
                 self.admission.start_incarnation()
                 body = json.dumps(self.admission.heartbeat()).encode()
             elif response.status == 400:
-                logging.error('endpoint: heartbeat was refused: %s', response.body.decode('utf-8', 'replace'))
+                logging.error('endpoint: heartbeat refused: %s', response.body.decode('utf-8', 'replace'))
             if response.status in (200, 400):
                 return
-            # One directory that fails must not make the endpoint look gone.
+            # The next directory is tried: a failure of one directory must not lead to the endpoint's removal.
             self.directories.append(self.directories.pop(0))
 
     def set_state(self, state: str) -> defer.Deferred[None]:
-        """Become 'ready', 'draining' (finishes what runs) or 'leaving' (takes nothing more); reported at once."""
+        """Change the state to 'ready', 'draining' (finishes requests) or 'leaving' (refuses all); report it at once."""
         self.admission.state = state
         return self.send_heartbeat()
 
     def set_cold(self, cold: float) -> None:
-        """Set how much of the warm-up is left, from 1 to 0; reported with the next heartbeat."""
+        """Set the remaining fraction of the warm-up, from 1 to 0; reported with the next heartbeat."""
         self.admission.cold = cold
 
     def crash(self) -> defer.Deferred[None]:
-        """Stop at once without reporting it; `start` then begins a new incarnation."""
+        """Stop at once without reporting it, as in a crash; a later `start` runs a new incarnation."""
         if self.heartbeats.running:
             self.heartbeats.stop()
         self.admission.start_incarnation()
@@ -115,7 +118,7 @@
 
     @defer.inlineCallbacks
     def shut_down(self) -> twisted_types.Steps[None]:
-        """Shut down gracefully: drain, wait for what runs, report that it leaves, stop listening."""
+        """Shut down gracefully: drain, wait for running requests, report the state 'leaving', stop listening."""
         yield self.set_state('draining')
         while self.admission.running:
             yield task.deferLater(self.reactor, DRAIN_POLL_SECONDS)
@@ -130,7 +133,7 @@
 
 
 class RequestResource(resource.Resource):
-    """The HTTP side of an endpoint: every path goes to the handler, except /zt/live."""
+    """The HTTP resource of an endpoint: every path except /zt/live goes to the handler."""
 
     isLeaf = True
 
@@ -180,7 +183,7 @@
             if incarnation == self.endpoint.admission.incarnation:
                 web.write_response(request, *response)
             else:
-                # The seal would name a new incarnation, which did not run the request.
+                # The sealed response would name the new incarnation, which did not run the request.
                 request.loseConnection()
 
         handled.addErrback(handler_failed).addCallback(respond)
--- a/zinctrail/client/request_client.py
+++ b/zinctrail/client/request_client.py
@@ -1,4 +1,4 @@
-"""The library that a client links: it looks up proxies, sends requests, and reports what became of each.
+"""The library that a client links: it looks up proxies, sends requests, and reports the outcome of each.
 
 client = request_client.RequestClient(reactor, ['127.0.0.1:7001'], zone='accra/a')
 response = yield client.send('loans', '/checkout', body=b'{}', timeout=datetime.timedelta(seconds=5))
@@ -21,62 +21,62 @@
 import zinctrail.transport.http_client as http_client
 import zinctrail.transport.twisted_types as twisted_types
 
-# What became of a request: it ran, it certainly did not run, or nobody can say. Values of the header zt-outcome.
+# Outcomes of a request: it ran, it certainly did not run, or it may have run. Values of the header zt-outcome.
 RAN, NOT_RUN, UNKNOWN = 'ran', 'not-run', 'unknown'
 LOOKUP_TIMEOUT = durations.ms(1000)
-# The pause before the next lookup where no directory answers.
+# The pause before the next lookup if no directory responds.
 LOOKUP_RETRY_SECONDS = 0.2
-# How many directories are remembered; lookups return further ones.
+# How many directories are remembered; lookup responses name further ones.
 MAX_DIRECTORIES = 8
-# The wait before a retry where the response names none, for each attempt so far.
+# The delay before a retry if the response names none, multiplied by the number of attempts so far.
 RETRY_STEP_MS = 50
 REQUEST_ID_BITS = 80
 
 
 class LookupResponse(typing.TypedDict):
-    """A directory's answer to a lookup, as the HTTP interface names its fields."""
+    """A directory's response to a lookup; the fields have their names in the HTTP interface."""
 
     # HTTP addresses of proxies to use in turn, and of further directories.
     proxies: list[str]
     dirs: list[str]
-    # The present epoch, with which ids of requests begin.
+    # The current epoch, with which request ids begin.
     epoch: int
-    # How long the answer is valid.
+    # How long the response is valid.
     ttl_ms: int
 
 
 @dataclasses.dataclass
 class Response:
-    """What the client knows of a request in the end."""
+    """The result of a request, as far as the client knows it."""
 
     # RAN, NOT_RUN or UNKNOWN.
     outcome: str
-    # The HTTP status; 0 where there was no response.
+    # The HTTP status; 0 if there was no response.
     status: int
     headers: dict[str, str]
     body: bytes
-    # The request's id; '' where it was never sent.
+    # The request's id; '' if it was never sent.
     id: str = ''
     attempts: int = 1
-    # What went wrong on the way; '' where nothing did.
+    # The error of the last attempt, such as a lost response; '' if there was none.
     fault: str = ''
 
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """A request on its way, the same for all its attempts."""
+    """The attributes of a request that are the same for all its attempts."""
 
     service: str
     path: str
     method: str
     body: bytes
     labels: dict[str, str] | None
-    # When its time is over, on the client's clock.
+    # The deadline of all attempts, on the client's clock.
     deadline: datetime.timedelta
 
 
 class RequestClient:
-    """Sends requests of one application; keeps the last lookup while it is valid."""
+    """Sends requests of one application; caches the last lookup response while it is valid."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         rng: random.Random | None = None,
     ):
         self.reactor = reactor
-        # The one that answered last comes first.
+        # The directory that responded last comes first.
         self.directories = list(directories)
         self.zone = zone
         # The regions in which its requests may run; empty: any.
@@ -99,20 +99,20 @@
         self.fetcher: http_client.Fetcher = fetcher or http_client.HttpClient(reactor)
         self.clock = clock
         self.rng = rng or random.SystemRandom()
-        # The last answer of a directory, and until when it is valid.
+        # The last lookup response, and until when it is valid.
         self.lookup_result: LookupResponse | None = None
         self.valid_until = durations.ZERO
         self.attempt_count = 0
 
     def now(self) -> datetime.timedelta:
-        """The time on the client's clock."""
+        """Return the time on the client's clock."""
         return datetime.timedelta(seconds=self.clock())
 
     @defer.inlineCallbacks
     def lookup(self, timeout: datetime.timedelta) -> twisted_types.Steps[LookupResponse | None]:
-        """The directory's answer: proxies and the present epoch; looked up again once invalid, None if nobody answers.
+        """Return proxies and the current epoch: the cached lookup response, or a new one if it is no longer valid.
 
-        `timeout` is for each directory.
+        None if no directory responds. `timeout` is for each directory.
         """
         if self.lookup_result and self.now() < self.valid_until:
             return self.lookup_result
@@ -138,7 +138,7 @@
 
     def _remember(self, result: LookupResponse, requested_at: datetime.timedelta) -> None:
         self.lookup_result = result
-        # Counted from the question: the directory counts from later, so it becomes invalid here first.
+        # The validity counts from when the lookup was sent. The directory counts from later, so it ends here first.
         self.valid_until = requested_at + durations.ms(result['ttl_ms'])
         for directory in result['dirs']:
             if directory not in self.directories:
@@ -156,9 +156,9 @@
         timeout: datetime.timedelta = durations.ms(5000),
         request_id: str | None = None,
     ) -> twisted_types.Steps[Response]:
-        """Send one request, and retry where that is safe; the Response says what became of it."""
+        """Send a request, retry it if that is safe, and return its Response."""
         request = Request(service, path, method, body, labels, self.now() + timeout)
-        response = Response(NOT_RUN, 0, {}, b'', fault='no standing answer')
+        response = Response(NOT_RUN, 0, {}, b'', fault='no lookup response from any directory')
         attempt = 0
         while attempt < self.max_attempts and self.now() < request.deadline:
             lookup_response = yield self.lookup(request.deadline - self.now())
@@ -170,13 +170,13 @@
             attempt += 1
             earlier_outcome = response.outcome
             response = yield self._attempt(lookup_response, request, request_id, attempt)
-            # Once an attempt may have run, only a response that says so settles the request.
+            # Once an attempt may have run, only a response with the outcome "ran" settles the request.
             if earlier_outcome == UNKNOWN and response.outcome == NOT_RUN:
                 response.outcome = UNKNOWN
             if response.outcome == RAN or 400 <= response.status < 500:
                 break
             pause = retry_after(response)
-            # Where no retry fits before the deadline, the result is returned now.
+            # If no retry fits before the deadline, the result is returned now.
             if self.now() + pause >= request.deadline:
                 break
             if attempt < self.max_attempts:
@@ -187,7 +187,7 @@
     def _attempt(
         self, lookup_response: LookupResponse, request: Request, request_id: str, attempt: int
     ) -> twisted_types.Steps[Response]:
-        """One attempt, through the next of the proxies that the directory named."""
+        """Send one attempt, through the next of the proxies in the lookup response."""
         self.attempt_count += 1
         proxy = lookup_response['proxies'][self.attempt_count % len(lookup_response['proxies'])]
         remaining = max(durations.ms(1), request.deadline - self.now())
@@ -210,11 +210,11 @@
             result.fault,
         )
         if not result.sent:
-            # Nobody listens there, so nothing ran; another lookup may name another proxy.
+            # The proxy could not be reached, so nothing ran; a new lookup may return another proxy.
             response.outcome, self.valid_until = NOT_RUN, durations.ZERO
         elif result.fault or not _is_response_to(result, request_id, attempt):
             response.outcome, response.body = UNKNOWN, b''
-            response.fault = result.fault or 'reply altered or of another request'
+            response.fault = result.fault or 'response altered or to another request'
         if response.status in (403, 503):
             self.valid_until = durations.ZERO
         return response
@@ -236,7 +236,7 @@
 
 
 def _is_response_to(result: effects.HttpResult, request_id: str, attempt: int) -> bool:
-    """Whether a result is intact and belongs to this attempt of this request."""
+    """True if a result is intact and belongs to this attempt of this request."""
     return (
         seal.is_intact(result.status, result.headers, result.body)
         and result.headers.get('zt-id') == request_id
@@ -245,7 +245,7 @@
 
 
 def retry_after(response: Response) -> datetime.timedelta:
-    """How long to wait before a retry: as the response says, or longer with each attempt."""
+    """Return how long to wait before a retry: the time in the response, by default longer with each attempt."""
     try:
         return durations.ms(json.loads(response.body)['retry_ms'])
     except (ValueError, KeyError, TypeError):
--- a/zinctrail/client/seal.py
+++ b/zinctrail/client/seal.py
@@ -1,6 +1,6 @@
-"""The seal on an endpoint's response: a digest over everything in it that must not change on the way.
+"""The seal on an endpoint's response: a digest over everything in it that must not change in transit.
 
-A proxy or client that finds the seal broken treats the response as lost.
+A proxy or client that receives a response with an invalid seal treats it as lost.
 """
 
 import hashlib
@@ -11,7 +11,7 @@
 
 
 def digest(status: int, headers: dict[str, str], body: bytes) -> str:
-    """The SHA-256 digest of a response, in hexadecimal."""
+    """Return the SHA-256 digest of a response, in hexadecimal."""
     sealed = [str(status), *[headers.get(name, '') for name in SEALED_HEADERS], '']
     sha = hashlib.sha256('\n'.join(sealed).encode())
     sha.update(body)
@@ -25,5 +25,5 @@
 
 
 def is_intact(status: int, headers: dict[str, str], body: bytes) -> bool:
-    """Whether a response arrived as it was sealed."""
+    """True if a response is the same as when it was sealed."""
     return headers.get(SEAL_HEADER) == digest(status, headers, body)
--- a/zinctrail/proxy/__init__.py
+++ b/zinctrail/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: the pipeline of a request, from its admission to its response."""
+"""The proxy: the request pipeline, from admission to response."""
--- a/zinctrail/proxy/admission.py
+++ b/zinctrail/proxy/admission.py
@@ -1,4 +1,4 @@
-"""What client requests and open traffic share on their way in: time left, deadlines, the retry budget."""
+"""Admission checks shared by client requests and open traffic: remaining time, deadlines, the retry budget."""
 
 import datetime
 
@@ -8,14 +8,15 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.parsing as parsing
 
-# Longer numbers in a header are refused before they are converted.
+# A number in a header with more digits is refused before it is converted.
 MAX_DIGITS = 9
 
 
 def remaining_time_ms(headers: dict, subject: str) -> int | None:
-    """Milliseconds that the caller gives it, by `zt-left-ms`; None where it does not say.
+    """Return the remaining time in the header `zt-left-ms`, in milliseconds; None if the header is absent.
 
-    :param subject: how the refusal names the header.
+    :param subject: the name of the header in the refusal's text.
+    :raises refusals.MalformedRequest: if the header is not a whole number.
     """
     text = headers.get('zt-left-ms')
     if text is None:
@@ -26,7 +27,7 @@
 
 
 def limit_deadline(request: request_record.Request, now: datetime.timedelta, timeout_ms: int) -> None:
-    """Set the deadline to the sooner of the caller's and the rule's; refuse what is past it."""
+    """Set the request's deadline to the earlier of the caller's and the rule's; refuse the request if it has passed."""
     limit = request.received_at + durations.ms(timeout_ms)
     request.deadline = min(request.deadline, limit) if request.deadline else limit
     if now >= request.deadline:
@@ -34,7 +35,7 @@
 
 
 def charge_retry_budget(proxy: proxy_part.ProxyNode, request: request_record.Request, is_retry: bool) -> None:
-    """Count one send: a first attempt earns budget, a retry spends it or is refused."""
+    """Account for one send in the retry budget: a first attempt earns budget; a retry spends it, or is refused."""
     if is_retry:
         proxy.retry_budgets.require(request).spend(proxy.now)
         proxy.counts['repeats'] += 1
--- a/zinctrail/proxy/at_most_once.py
+++ b/zinctrail/proxy/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may run at most once: their claims, kept results, and attempts that are answered from them."""
+"""At-most-once requests: their claims, their stored results, and the replay of results to further attempts."""
 
 import base64
 import collections
@@ -14,7 +14,7 @@
 import zinctrail.proxy.request as request_record
 
 Request = request_record.Request
-# Memory for kept results is bounded; an attempt whose result is forgotten is answered "unknown".
+# Bounds on the memory for stored results; an attempt whose result was evicted gets the outcome "unknown".
 MAX_STORED_RESULTS = 20000
 MAX_STORED_BYTES = 64 << 20
 RETRY_NO_CLAIM_MS = 500
@@ -22,7 +22,7 @@
 
 
 class StoredResponse(typing.NamedTuple):
-    """The response that attempts of one id get."""
+    """The response that is replayed to every attempt with the same request id."""
 
     status: int
     headers: dict[str, str]
@@ -30,7 +30,7 @@
 
 
 class ResultQuery(typing.NamedTuple):
-    """Another proxy's question for the result of an id that it can not claim."""
+    """Another proxy's query for the result of a request id that it could not claim."""
 
     addr: str
     key: int
@@ -38,60 +38,64 @@
 
 @dataclasses.dataclass(slots=True)
 class StoredResult:
-    """An at-most-once id as this proxy knows it, and who waits for its result."""
+    """Holds the state of one at-most-once request id on this proxy, with the requests and queries waiting for it."""
 
     epoch: int
-    # The nonce of the claim that this proxy made for it; '' where another proxy made one.
+    # The nonce of this proxy's claim for the id; '' if another proxy made the claim.
     claim_nonce: str = ''
-    # Whether an attempt of it is under way here.
+    # Whether an attempt with the id is in progress on this proxy.
     is_running: bool = True
-    # What it became; None while that is open.
+    # The final response; None until there is one.
     response: StoredResponse | None = None
-    # The zone where it ran; '' where nothing ran, as far as is known.
+    # The zone where the request ran; '' if nothing is known to have run.
     zone: str = ''
+    # Attempts of the same id, and queries of other proxies, that wait for the result.
     waiting: list[Request] = dataclasses.field(default_factory=list)
     queries: list[ResultQuery] = dataclasses.field(default_factory=list)
 
 
 def ran_outside_home() -> refusals.Refusal:
-    """The refusal of an attempt whose result lies outside its home regions."""
+    """Return the refusal of an attempt whose request was claimed or run outside its home regions."""
     return refusals.OutcomeUnknown(409, 'claimed or run before, outside these home regions')
 
 
 def epoch_of(request: Request) -> int:
-    """The epoch that its id begins with; the pass that accepts a request refuses ids without one."""
+    """Return the epoch at the start of the request's id; the `accept` stage has refused ids without one."""
     epoch = claims.epoch_of(request.id)
     assert epoch is not None
     return epoch
 
 
 class AtMostOnce(proxy_part.ProxyPart):
-    """Claims ids with the leader, keeps results, answers other attempts and other proxies."""
+    """Handles claim results, stores the results of requests, and replays them to other attempts and other proxies."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up without results."""
+        """Start without stored results."""
         super().__init__(proxy)
-        # {id: StoredResult}, oldest first, and the size of the responses in it.
+        # {request id: StoredResult}, oldest first, and the total size of the response bodies in it.
         self.stored_results: collections.OrderedDict[str, StoredResult] = collections.OrderedDict()
         self.stored_bytes = 0
-        # Requests whose result another proxy is asked for: {key of the query: Request}.
+        # {key of the query: Request}: requests whose result was requested from another proxy.
         self.result_queries: dict[int, Request] = {}
 
-    # -- kept results -----------------------------------------------------
+    # -- stored results ---------------------------------------------------
 
     def begin_result(self, request: Request) -> None:
-        """Note that an attempt is under way; forget the oldest results where there are too many."""
+        """Record that an attempt is in progress; evict the oldest results while the bounds are exceeded."""
         self.stored_results[request.id] = StoredResult(epoch_of(request), request.claim_nonce)
         while len(self.stored_results) > MAX_STORED_RESULTS or self.stored_bytes > MAX_STORED_BYTES:
             oldest_id, oldest = next(iter(self.stored_results.items()))
             if oldest.is_running:
                 break
-            self.forget_result(oldest_id)
+            self.discard_result(oldest_id)
 
     def end_result(
         self, request: Request, stored: StoredResult, response: StoredResponse | None, has_run: bool
     ) -> None:
-        """Keep the response of an attempt that ended; without one its claim is closed, and the next starts anew."""
+        """Store the response of an attempt that ended.
+
+        With no response the claim is closed, and the entry is removed, so that the next attempt starts afresh.
+        """
         stored.is_running = False
         if response is None:
             del self.stored_results[request.id]
@@ -100,37 +104,37 @@
         self.stored_bytes += len(response.body)
 
     def replace_response(self, stored: StoredResult, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Keep another response than before for an id."""
+        """Replace the stored response of a request id."""
         assert stored.response is not None
         self.stored_bytes += len(body) - len(stored.response.body)
         stored.response = StoredResponse(status, headers, body)
 
-    def forget_result(self, request_id: str) -> None:
-        """Drop what is kept of an id."""
+    def discard_result(self, request_id: str) -> None:
+        """Remove the stored result of a request id."""
         stored = self.stored_results.pop(request_id)
         if stored.response:
             self.stored_bytes -= len(stored.response.body)
 
-    def forget_old_results(self) -> None:
-        """Drop results of epochs whose claims are no longer retained."""
+    def discard_old_results(self) -> None:
+        """Remove the results of epochs whose claims are no longer retained."""
         oldest = (self.proxy.replica.get('meta', 'epoch') or 0) - self.proxy.settings.epochs_kept
         for request_id in [i for i, k in self.stored_results.items() if k.epoch <= oldest and not k.is_running]:
-            self.forget_result(request_id)
+            self.discard_result(request_id)
 
     def replay(self, request: Request, response: StoredResponse, zone: str) -> None:
-        """Answer an attempt with the response of another, which ran in `zone`."""
+        """Respond to an attempt with the stored response of another attempt, which ran in `zone`."""
         if self.is_outside_home(request, zone):
             self.proxy.runner.refuse(request, ran_outside_home())
             return
         status, headers, body = response
-        # With its own attempt number: the caller matches the response with what it sent.
+        # The response carries this attempt's own number, because the caller matches responses with attempts by it.
         headers = seal.add(status, dict(headers, **{'zt-attempt': str(request.attempt), 'zt-kept': '1'}), body)
         self.proxy.counts[refusals.REPLAYED] += 1
         self.proxy.request_metrics.observe_end(request, status, refusals.REPLAYED)
         self.proxy.client_responses.complete(request, status, headers, body, has_run=True)
 
     def is_outside_home(self, request: Request, zone: str) -> bool:
-        """Whether a zone lies outside the request's home regions."""
+        """True if a zone lies outside the request's home regions."""
         return (
             bool(request.allowed_regions and zone) and self.proxy.routes.region_of(zone) not in request.allowed_regions
         )
@@ -138,7 +142,7 @@
     # -- claims -----------------------------------------------------------
 
     def handle_claim_result(self, request: Request, result: dict) -> None:
-        """The leader's answer to `claim`."""
+        """Handle the leader's result of the operation `claim`."""
         if not self.proxy.runner.is_pending(request):
             return
         got = result.get('got')
@@ -156,13 +160,13 @@
                 request, refusals.Unavailable('no master could be asked for a claim', RETRY_NO_CLAIM_MS)
             )
         else:
-            # The claim may yet be committed, so that a late copy of this attempt may run.
+            # The claim may still be committed, and then a delayed copy of this attempt may run.
             self.proxy.runner.refuse(
                 request, refusals.OutcomeUnknown(504, 'no claim in time', retry_ms=RETRY_NO_CLAIM_MS)
             )
 
     def query_owner(self, request: Request, claim: dict) -> None:
-        """Another attempt owns the claim: its result is the result, nothing runs here."""
+        """Request the result from the proxy that owns the claim; nothing runs here, since another attempt owns it."""
         if claim['state'] == 'closed':
             self.proxy.runner.refuse(
                 request, refusals.Unavailable('an attempt this late does not run', RETRY_CLAIM_CLOSED_MS)
@@ -174,7 +178,7 @@
             self.proxy.runner.refuse(request, refusals.OutcomeUnknown(504, 'ran or not under a proxy that is gone'))
             return
         if self.is_outside_home(request, members[owner]['cell']):
-            # Its result was carried outside these home regions, and must not be carried in.
+            # The result is held outside these home regions, and must not be brought into them.
             self.proxy.runner.refuse(request, ran_outside_home())
             return
         key = self.proxy.next_number()
@@ -185,7 +189,7 @@
     # -- results between proxies ------------------------------------------
 
     def handle_result_request(self, message: traffic_messages.ResultRequest) -> None:
-        """Another proxy asks for the result of an id; answered when that is known."""
+        """Handle another proxy's query for the result of a request id; respond once the attempt in progress ends."""
         stored = self.stored_results.get(message.request_id)
         query = ResultQuery(codec.sender_of(message).address, message.key)
         if stored is not None and stored.is_running:
@@ -194,7 +198,7 @@
             self.send_result(query, message.request_id, stored)
 
     def send_result(self, query: ResultQuery, request_id: str, stored: StoredResult | None) -> None:
-        """Answer another proxy's query; without a result where none is known."""
+        """Send the response to another proxy's query; its result is None if no response is stored."""
         response: list | None = None
         zone = ''
         if stored is not None and stored.response:
@@ -205,16 +209,16 @@
         self.proxy.send_message(query.addr, answer)
 
     def handle_result_response(self, message: traffic_messages.ResultResponse) -> None:
-        """The answer of the claim's owner."""
+        """Handle the response of the proxy that owns the claim."""
         request = self.result_queries.get(message.key)
         if request is None or message.request_id not in (None, request.id):
-            # It answers whoever had our address before us, and used the same number.
+            # The message is for the process that had this address before and used the same key.
             return
         del self.result_queries[message.key]
         if not self.proxy.runner.is_pending(request):
             return
         if not message.result or message.request_id is None:
-            # A sender of the previous release names no request, so that it may be the result of another one.
+            # A sender of the previous release omits the request id, so the result may be of another request.
             self.proxy.runner.refuse(
                 request, refusals.OutcomeUnknown(504, 'claimed before, and its outcome is not known')
             )
--- a/zinctrail/proxy/client_disconnects.py
+++ b/zinctrail/proxy/client_disconnects.py
@@ -1,11 +1,11 @@
-"""Callers that go away before their answer: what was under way for them is dropped, or runs on for a reason.
+"""Callers that disconnect before their response: their requests are dropped, cancelled, or run to their end.
 
-A request that may be repeated is of use to nobody any more: what waits is
-dropped, and what is at an endpoint is cancelled. One that may run at most once
-runs on where it was sent, since an endpoint that is broken off in the middle
-may have done half of it. Of open traffic it is not sent again; of a client that
-links our library it goes on as if its caller were there, since the next attempt
-with its id is given its result.
+A repeatable request is of no more use: it is dropped if it waits, and
+cancelled if it is at an endpoint. An at-most-once request runs on at the
+endpoint where it is, because an endpoint that is interrupted may have done half
+of the work. Such a request of open traffic is not sent again; one of a client
+that links the client library continues as if its caller were connected, because
+the next attempt with its id gets its result.
 """
 
 import datetime
@@ -17,15 +17,15 @@
 import zinctrail.runtime.metrics as metrics
 
 Request = request_record.Request
-# What becomes of a request whose caller goes away, as counted.
+# What happens to a request whose caller disconnects; labels of a metric.
 DROPPED, CANCELLED, RUNS_ON = 'dropped', 'cancelled', 'runs_on'
 
 
 class ClientDisconnects(proxy_part.ProxyPart):
-    """Ends the work for callers that have gone, and counts and logs it."""
+    """Ends the requests of callers that disconnected, and counts and logs them."""
 
     def handle_disconnect(self, call_id: typing.Any) -> None:
-        """A caller has gone; its request may be answered already."""
+        """Handle the disconnect of a caller; its request may have its response already."""
         request = self.proxy.runner.requests.get(call_id)
         if request is None:
             return
@@ -38,18 +38,18 @@
         self.observe(request, in_flight, fate)
 
     def end_open_request(self, request: Request) -> str:
-        """Drop or cancel a request of open traffic, or let it run on; says which."""
+        """Drop or cancel a request of open traffic, or let it run on; return which of these was done."""
         if request.in_flight and request.at_most_once:
             request.disconnected_at = self.proxy.now
             return RUNS_ON
         is_at_endpoint = bool(request.in_flight)
-        # Removed first: room that becomes free goes to requests that somebody waits for.
+        # Removed before the cancellation, so that the capacity it frees goes to requests whose callers still wait.
         self.proxy.runner.remove(request)
         self.proxy.open_upstream.cancel(request)
         return CANCELLED if is_at_endpoint else DROPPED
 
     def end_client_request(self, request: Request) -> str:
-        """Drop or cancel a client's request, or let it run on; says which."""
+        """Drop or cancel a client's request, or let it run on; return which of these was done."""
         if request.at_most_once:
             return RUNS_ON
         is_at_endpoint = request.fetch_id in self.proxy.upstream.fetches
@@ -59,7 +59,7 @@
         return CANCELLED if is_at_endpoint else DROPPED
 
     def observe(self, request: Request, in_flight: list[str], fate: str) -> None:
-        """Count a disconnect, and log a few of them each second."""
+        """Count a disconnect, and log it if the sampler's limit per second allows."""
         self.proxy.counts[f'disconnects_{fate}'] += 1
         if self.proxy.request_sampler.admits_failure(self.proxy.now):
             self.proxy.log(
@@ -73,7 +73,7 @@
             )
 
     def observe_fetch_end(self, request: Request, incarnation: str, sent_at: datetime.timedelta) -> None:
-        """A request's work at an endpoint has ended."""
+        """Log the end of a fetch whose caller had disconnected, if the sampler's limit per second allows."""
         if request.disconnected_at is None or not self.proxy.request_sampler.admits_failure(self.proxy.now):
             return
         self.proxy.log(
@@ -86,7 +86,7 @@
         )
 
     def rows(self) -> typing.Iterator[metrics.Metric]:
-        """Rows of runtime/metrics.py."""
+        """Yield the metrics of disconnects (runtime/metrics.py)."""
         counts = self.proxy.counts
         yield metrics.by_label(
             metrics.COUNTER,
--- a/zinctrail/proxy/client_limits.py
+++ b/zinctrail/proxy/client_limits.py
@@ -1,4 +1,4 @@
-"""Limits of clients of open traffic, out of the configuration to the server that keeps them."""
+"""Limits on clients of open traffic, passed from the configuration to the server that enforces them."""
 
 import dataclasses
 
@@ -10,13 +10,13 @@
     """Passes the configured limits on to the server of open traffic."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up before the first version of the state."""
+        """Start with the default limits, before the first version of the state."""
         super().__init__(proxy)
-        # What the server was told last.
+        # The limits that were passed to the server last.
         self.limits = effects.Limits()
 
     def update(self) -> None:
-        """A version of the state came into force: tell the server of open traffic if its limits changed."""
+        """Apply a new version of the state: pass the limits to the server of open traffic if they changed."""
         row = self.proxy.routes.item('limits') or {}
         names = [field.name for field in dataclasses.fields(effects.Limits)]
         limits = effects.Limits(**{name: row[name] for name in names if name in row})
--- a/zinctrail/proxy/client_responses.py
+++ b/zinctrail/proxy/client_responses.py
@@ -1,4 +1,4 @@
-"""Answers to clients' requests: an endpoint's response, or a refusal of ours."""
+"""Responses to clients' requests: an endpoint's response, or a refusal of this proxy."""
 
 import json
 
@@ -11,24 +11,24 @@
 import zinctrail.runtime.effects as effects
 
 Request = request_record.Request
-# Response headers that are of a connection, or set by our server; never passed through.
+# Response headers that concern one connection, or that this proxy's server sets; never passed on.
 CONNECTION_HEADERS = ('connection', 'transfer-encoding', 'content-length', 'date', 'server', 'keep-alive')
-# How much of a caller's id a refusal repeats, in characters.
+# The most characters of a request id that a refusal echoes.
 MAX_ECHOED_ID_LENGTH = 100
 
 
 def passed_headers(result: effects.HttpResult) -> dict[str, str]:
-    """An endpoint's headers, less those of its connection."""
+    """Return an endpoint's response headers without those of its connection."""
     return {name: value for name, value in result.headers.items() if name not in CONNECTION_HEADERS}
 
 
 class ClientResponses(proxy_part.ProxyPart):
-    """Answers clients' requests, and the attempts that wait for the same result."""
+    """Sends the responses to clients' requests and to the attempts that wait for the same result."""
 
     def respond_client_refusal(self, request: Request, refusal: refusals.Refusal) -> None:
-        """Answer with a refusal as sealed JSON."""
+        """Respond with a refusal as sealed JSON."""
         outcome = refusal.outcome
-        # An earlier attempt may have run, unless a claim shows that none did.
+        # An earlier attempt may have run, unless this attempt's claim shows that none did.
         if outcome == refusals.NOT_RUN and request.attempt > 1 and not request.is_claimed:
             outcome = refusals.UNKNOWN
         body = {'outcome': outcome, 'attempt_outcome': refusal.outcome, 'fault': str(refusal), **refusal.details()}
@@ -48,14 +48,14 @@
         self.complete(request, refusal.status, headers, text, has_run=False)
 
     def respond_result(self, request: Request) -> None:
-        """Answer with the endpoint's response."""
+        """Respond with the endpoint's response."""
         result = request.result
         self.proxy.counts[refusals.RAN] += 1
         self.proxy.request_metrics.observe_end(request, result.status, refusals.RAN)
         self.complete(request, result.status, passed_headers(result), result.body, has_run=True)
 
     def complete(self, request: Request, status: int, headers: dict, body: bytes, has_run: bool) -> None:
-        """Answer the call; keep what it became for other attempts of its id."""
+        """Send the response, and store it for other attempts with the same request id."""
         self.proxy.runner.remove(request)
         self.proxy.out.append(effects.HttpResponse(request.call_id, status, headers, body))
         if not request.claim_nonce:
--- a/zinctrail/proxy/credit.py
+++ b/zinctrail/proxy/credit.py
@@ -1,6 +1,6 @@
-"""What this proxy may send to each endpoint of a pool: leased credit, and the queue of requests that wait for it.
+"""Credit: leased permits for requests to the endpoints of a pool, and the queue of requests that wait for credit.
 
-The pool's credit ledger, kept by a directory, grants credit for a short time
+The pool's credit ledger, which a directory holds, grants credit for a short time
 (directory/credit_ledger.py; docs/notes/credit.md).
 """
 
@@ -18,66 +18,70 @@
 import zinctrail.runtime.durations as durations
 
 Request = request_record.Request
-# The least time between two requests for credit of one pool.
+# The minimum time between two credit requests for one pool.
 REQUEST_INTERVAL = durations.ms(20)
-# How many requests for credit of one pool are remembered until their grant comes.
+# How many credit requests of one pool are remembered until their grant arrives.
 MAX_PENDING_REQUESTS = 50
-# Every such failure of a pool's policy is logged.
+# Only the first of so many failures of policies is logged.
 POLICY_LOG_EVERY = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class PoolCredit:
-    """The credit that this proxy holds in one pool."""
+    """Holds the credit of this proxy in one pool, and the demand for it."""
 
-    # The fencing token of the ledger that grants it, and the sequence number of its last grant.
+    # The fencing token of the ledger that grants the credit, and the sequence number of its last grant.
     fencing_token: int = 0
     grant_number: int = 0
-    # {incarnation: how many requests this proxy may have there}, until the lease ends.
+    # {incarnation: how many requests this proxy may have in flight there}, valid until the lease ends.
     grants: dict[str, int] = dataclasses.field(default_factory=dict)
     lease_until: datetime.timedelta = durations.ZERO
-    # {incarnation: how many requests it has there now}.
+    # {incarnation: how many requests of this proxy are in flight there}.
     in_use: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    # {number of a request for credit: when it was sent}, oldest first, and when the last one was.
+    # {number of a credit request: when it was sent}, oldest first, and when the last one was sent.
     requested: collections.OrderedDict[int, datetime.timedelta] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     requested_at: datetime.timedelta | None = None
     # Requests that wait for credit, oldest first.
     queue: collections.deque[Request] = dataclasses.field(default_factory=collections.deque)
-    # {home regions, joined by commas: how many requests were sent of late}.
+    # {home regions, joined by commas: how many requests were sent recently}, decaying.
     recent_demand: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    # How long a request usually takes at an endpoint, in milliseconds; 0 before the first.
+    # The smoothed latency of the pool's endpoints, in milliseconds; 0 before the first response.
     latency_ms: float = 0.0
 
     def has_credit(self) -> bool:
-        """Whether any endpoint could be sent a request."""
+        """True if there is unused credit at any endpoint."""
         return any(self.in_use[incarnation] < granted for incarnation, granted in self.grants.items())
 
 
 def home_key(request: Request) -> str:
-    """The request's home regions, as the ledger counts demand by."""
+    """Return the request's home regions as the key by which the ledger counts demand."""
     return ','.join(sorted(request.allowed_regions))
 
 
 class CreditLeases(proxy_part.ProxyPart):
-    """Leases of credit, the choice of an endpoint with credit, the queues for it."""
+    """Leases credit, chooses endpoints that have credit, and queues requests until there is some."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up without credit."""
+        """Start without credit."""
         super().__init__(proxy)
         self.pools: dict[str, PoolCredit] = {}
-        # {pool: its policy, compiled}.
+        # {pool: its compiled policy}.
         self.policies: dict[str, policies.Policy] = {}
 
     def pool_credit(self, pool: str) -> PoolCredit:
-        """The credit of a pool."""
+        """Return the credit record of a pool, creating it if necessary."""
         return self.pools.setdefault(pool, PoolCredit())
 
     # -- choosing an endpoint ---------------------------------------------
 
     def choose_endpoint(self, request: Request) -> str | None:
-        """The incarnation to send it to: with credit, allowed, near, least used. None: there is none now."""
+        """Return the incarnation to send the request to; None if no allowed endpoint has credit now.
+
+        Endpoints of the own zone come first, then those of the own region; among equals the least used.
+        The pool's own policy, if there is one, chooses among all candidates.
+        """
         pool = self.pool_credit(request.pool)
         if pool.lease_until <= self.proxy.now:
             return None
@@ -103,7 +107,7 @@
         return self.choose_by_policy(request, [incarnation for _, incarnation in candidates]) or candidates[0][1]
 
     def choose_by_policy(self, request: Request, incarnations: list[str]) -> str | None:
-        """What the pool's own policy chooses among these; None without one, or if it fails."""
+        """Return the choice of the pool's own policy among these incarnations; None without a policy or if it fails."""
         source = (self.proxy.replica.get('conf', f'pools/{request.pool}') or {}).get('policy')
         if source is None:
             return None
@@ -116,14 +120,14 @@
             endpoints = [self.policy_view(request.pool, incarnation) for incarnation in incarnations]
             return incarnations[policy.choose(subject, endpoints)]
         except policies.PolicyError as error:
-            # The request is not refused: the built-in choice serves it as well, and the log tells the operator.
+            # The request is not refused, because the built-in choice can serve it; the log informs the operator.
             self.proxy.counts['policy_faults'] += 1
             if self.proxy.counts['policy_faults'] % POLICY_LOG_EVERY == 1:
-                self.proxy.log(f'Policy of pool {request.pool} failed: {error}. Built-in choice used.')
+                self.proxy.log(f'Policy of pool {request.pool} failed: {error}. Using the built-in endpoint choice.')
             return None
 
     def policy_view(self, pool: str, incarnation: str) -> dict:
-        """An endpoint as a policy sees it."""
+        """Return an endpoint's attributes as a policy gets them."""
         row, credit = proxy_part.endpoint_row(self.proxy, incarnation), self.pool_credit(pool)
         return {
             'addr': row['addr'],
@@ -137,7 +141,7 @@
     # -- waiting for credit -----------------------------------------------
 
     def pool_capacity(self, pool: str) -> int:
-        """How many requests all usable endpoints of a pool bear at once."""
+        """Return how many concurrent requests all usable endpoints of a pool can serve."""
         routes = self.proxy.routes
         return sum(
             routes.capacity(incarnation, pool)
@@ -146,7 +150,10 @@
         )
 
     def can_wait(self, request: Request, ahead: int, capacity: int) -> bool:
-        """Whether waiting behind `ahead` requests can end in time, if all of the pool's capacity were ours."""
+        """True if the request can wait behind `ahead` others and still meet its deadline.
+
+        The estimate is optimistic: it assumes that this proxy has all of the pool's capacity.
+        """
         latency_ms = self.pool_credit(request.pool).latency_ms
         is_hopeless = (
             capacity
@@ -157,7 +164,7 @@
         return self.can_queue(request) and not is_hopeless
 
     def can_queue(self, request: Request) -> bool:
-        """Whether any endpoint may serve it at all, and the queue has room."""
+        """True if some endpoint is allowed to serve the request, and the queue has room."""
         routes = self.proxy.routes
         endpoints: dict[str, rows.EndpointRow] = self.proxy.replica.get('endpoints')
         has_endpoint = any(
@@ -172,26 +179,26 @@
         return has_endpoint and len(self.pool_credit(request.pool).queue) < self.proxy.settings.queue_most // 2
 
     def queue_for_credit(self, request: Request) -> None:
-        """Park it until there is credit."""
+        """Park the request until there is credit."""
         request.waiting_for = request_record.Waiting.CREDIT
         self.pool_credit(request.pool).queue.append(request)
         self.request_credit(request.pool, REQUEST_INTERVAL)
 
     def leave_queue(self, request: Request) -> None:
-        """A request waits for credit no more, if it did: others must not be refused for its place in the queue."""
+        """Remove a request from the queue for credit, if it is there, so that its place is free for others."""
         if request.waiting_for is request_record.Waiting.CREDIT:
             pool = self.pool_credit(request.pool)
             pool.queue = collections.deque(queued for queued in pool.queue if queued is not request)
 
     def retry_queued(self, name: str) -> None:
-        """Go through a pool's queue, oldest first: send, leave in the queue, or refuse."""
+        """Process a pool's queue, oldest request first: send it, leave it in the queue, or refuse it."""
         pool = self.pool_credit(name)
         capacity, ahead = self.pool_capacity(name) if pool.queue else 0, 0
         for _ in range(len(pool.queue)):
             request = pool.queue.popleft()
             if not self.proxy.runner.is_pending(request) or request.waiting_for is not request_record.Waiting.CREDIT:
                 continue
-            # Whether there is credit at all is looked at first: mostly there is none, and choosing costs more.
+            # The cheap check for any credit comes first: mostly there is none, and choosing an endpoint costs more.
             if pool.has_credit() and self.choose_endpoint(request) is not None:
                 self.proxy.runner.run_stages(request)
             elif self.can_wait(request, ahead, capacity):
@@ -203,7 +210,7 @@
     # -- frames to and from the ledger ------------------------------------
 
     def request_credit(self, name: str, interval: datetime.timedelta) -> None:
-        """Tell the pool's ledger what this proxy needs, not more often than once an interval."""
+        """Send the pool's ledger a credit request with this proxy's demand, at most once per interval."""
         pool = self.pool_credit(name)
         duty = self.proxy.replica.get('duties', f'keeper/{name}')
         if duty is None or not self.proxy.leased():
@@ -235,25 +242,25 @@
         self.proxy.send_message(duty['addr'], credit_request)
 
     def collect_demand(self, pool: PoolCredit) -> dict[str, int]:
-        """How many requests need credit, by home regions; what was sent of late counts half the next time."""
+        """Return how many requests need credit, by home regions; halve the recent demand for the next time."""
         need: collections.Counter[str] = collections.Counter()
         for home, count in pool.recent_demand.items():
             need[home] += count
         for request in pool.queue:
             need[home_key(request)] += 1
-        # One to spare: the first request after a pause should find credit waiting.
+        # One more than needed, so that the first request after a pause finds credit available.
         need[''] += 1 + len(pool.in_use)
         pool.recent_demand = collections.Counter({h: n // 2 for h, n in pool.recent_demand.items() if n > 1})
         return dict(need)
 
     def request_credit_for_queues(self) -> None:
-        """Ask again for the pools that requests wait for."""
+        """Request credit again for each pool that has requests in its queue."""
         for name, pool in list(self.pools.items()):
             if pool.queue:
                 self.request_credit(name, REQUEST_INTERVAL)
 
     def report_demand(self) -> None:
-        """Tell every ledger the demand regularly; look at every queue."""
+        """Report the demand to every ledger, process every queue, and set the timer for the next report."""
         self.proxy.set_timer('demand', self.proxy.settings.demand)
         for key in self.proxy.replica.get('duties'):
             self.request_credit(key.removeprefix('keeper/'), REQUEST_INTERVAL)
@@ -261,21 +268,21 @@
             self.retry_queued(name)
 
     def handle_grant(self, message: traffic_messages.CreditGrant) -> None:
-        """A grant came from the pool's ledger."""
+        """Handle a grant of the pool's ledger."""
         pool = self.pool_credit(message.pool)
         requested_at = pool.requested.get(message.number)
-        # A ledger that was replaced must not give out what another one gives out now.
+        # A grant of a ledger that was replaced is ignored: its successor grants the same credit now.
         if message.fencing_token != pool.fencing_token or requested_at is None:
             return
         for number in [n for n in pool.requested if n <= message.number]:
             del pool.requested[number]
         pool.grants, pool.grant_number = message.grants, message.sequence
-        # The lease counts from the request: the ledger counts from later, so it ends here before it ends there.
+        # The lease counts from when the request was sent. The ledger counts from later, so the lease ends here first.
         pool.lease_until = requested_at + self.proxy.settings.credit
         self.retry_queued(message.pool)
 
     def handle_collection(self, message: traffic_messages.CreditCollection) -> None:
-        """A new ledger asks what this proxy holds and uses."""
+        """Respond to a new ledger's query with the credit that this proxy holds and uses."""
         pool = self.pool_credit(message.pool)
         if message.fencing_token < pool.fencing_token:
             return
--- a/zinctrail/proxy/endpoint_selection.py
+++ b/zinctrail/proxy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint that gets a request of open traffic."""
+"""Endpoint selection for requests of open traffic."""
 
 import typing
 
@@ -10,63 +10,64 @@
 import zinctrail.proxy.request as request_record
 
 Request = request_record.Request
-# What an endpoint costs for standing in another zone, or another region, as shares of a full load.
+# The cost of an endpoint in another zone or another region, as fractions of a full load.
 OTHER_ZONE_COST = 0.12
 OTHER_REGION_COST = 0.75
-# What an idle endpoint costs: above zero, so that among idle ones the faster is chosen.
+# The base cost of an idle endpoint. It is above zero, so that the fastest of several idle endpoints is chosen.
 IDLE_COST = 0.25
-# Random part of the cost, so that proxies with the same view do not all choose the same endpoint.
+# The random part of the cost, so that proxies with the same view do not all choose the same endpoint.
 RANDOM_COST = 0.05
-# Up to which load an endpoint is chosen, as a multiple of its slots: it queues a few requests.
+# The load below which an endpoint is chosen, as a multiple of its slots; above 1, because it queues a few requests.
 MAX_LOAD = 1.5
-# How many connections this proxy may have to one endpoint where its pool does not say.
+# How many connections this proxy may have to one endpoint if the pool sets no limit.
 DEFAULT_CONNECTIONS = 64
 
 
 class Candidate(typing.NamedTuple):
-    """An endpoint that may be chosen in a pool, with what is the same for every request."""
+    """An endpoint that may be chosen in a pool, with the attributes that are the same for every request."""
 
     incarnation: str
     row: rows.EndpointRow
     view: endpoint_view.EndpointView
     region: str
     distance_cost: float
-    # Whether all proxies together saw it fail too often of late (control/outlier_detection.py).
+    # Whether the leader ejected it, because it failed too often by the reports of all proxies
+    # (control/outlier_detection.py).
     is_ejected: bool
 
 
 class EndpointSelection(proxy_part.ProxyPart):
-    """The candidates of each pool, and what was learned of each endpoint."""
+    """Chooses endpoints, and holds the candidates of each pool and this proxy's view of each endpoint."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up before the first version of the state."""
+        """Start without candidates, before the first version of the state."""
         super().__init__(proxy)
-        # {incarnation: what this proxy learned of it}.
+        # {incarnation: this proxy's view of it}.
         self.endpoint_views: dict[str, endpoint_view.EndpointView] = {}
-        # {pool: its candidates}, for the version in force.
+        # {pool: its candidates}, for the current version of the state.
         self.candidates: dict[str, list[Candidate]] = {}
-        # {pool: how long its requests usually take, in milliseconds}.
+        # {pool: the smoothed latency of its requests, in milliseconds}.
         self.typical_ms: dict[str, float] = {}
 
     def view_of(self, incarnation: str) -> endpoint_view.EndpointView:
-        """What this proxy learned of an endpoint."""
+        """Return this proxy's view of an endpoint, creating it if necessary."""
         view = self.endpoint_views.get(incarnation)
         if view is None:
             view = self.endpoint_views[incarnation] = endpoint_view.EndpointView()
         return view
 
-    def forget_candidates(self) -> None:
-        """A version of the state came into force: the candidates of each pool are gathered anew."""
+    def discard_candidates(self) -> None:
+        """Discard the cached candidates of every pool, because a new version of the state was applied."""
         self.candidates.clear()
 
-    def forget_removed_views(self) -> None:
-        """Drop the views of endpoints that are gone and have no work of ours."""
+    def discard_removed_views(self) -> None:
+        """Remove the views of endpoints that no longer exist and have no requests of this proxy in flight."""
         endpoints = self.proxy.replica.get('endpoints')
         for incarnation in [i for i, v in self.endpoint_views.items() if i not in endpoints and not v.in_use]:
             del self.endpoint_views[incarnation]
 
     def choose_share(self, shares: list[configuration_items.ShareRow]) -> str:
-        """A pool of a rule that splits its traffic, at random by weight."""
+        """Return one of the pools among which a rule splits its traffic, at random by weight."""
         remaining = self.proxy.rng.random() * sum(share['weight'] for share in shares)
         for share in shares:
             remaining -= share['weight']
@@ -75,7 +76,10 @@
         return shares[-1]['pool']
 
     def connection_share(self, pool: str) -> int:
-        """How many connections to one endpoint of the pool are ours: what it takes is for all proxies."""
+        """Return how many connections this proxy may have to one endpoint of the pool.
+
+        The pool's limit is for all proxies together, so each has an equal share of it, but at least one.
+        """
         limit = (self.proxy.routes.item(f'pools/{pool}') or {}).get('connections')
         return (
             max(1, limit // max(1, len(self.proxy.routes.members(member_roles.PROXY))))
@@ -84,11 +88,11 @@
         )
 
     def choose_endpoint(self, request: Request) -> str | None:
-        """The incarnation that costs least: near, fast, with room, and without failures of late.
+        """Return the incarnation with the lowest cost, by distance, load, latency and recent failures.
 
-        An endpoint that is ejected, suspect or unresponsive is chosen only
-        where there is no other: the least bad one may still serve. None where
-        no endpoint has room. Run for every request and hedge, over the whole pool.
+        An endpoint that is ejected, suspect or unresponsive is chosen only if
+        there is no other, because it may still serve the request. None if no
+        endpoint has room. Runs for every request and hedge, over the whole pool.
         """
         best, best_cost, fallback, fallback_cost = None, None, None, None
         now, rng, slow_start = self.proxy.now, self.proxy.rng, self.proxy.slow_start
@@ -108,7 +112,7 @@
                 continue
             cost = (load + IDLE_COST) * view.slowness(typical_ms) + view.recent_failures(now)
             cost += distance_cost + rng.random() * RANDOM_COST
-            # Unresponsive ones too: an endpoint that lost its power closes no connection, and would get requests
+            # Unresponsive endpoints are avoided too: one that lost power closes no connection, and would get requests
             # until the first of them times out.
             if is_ejected or view.suspect_until > now or view.is_unresponsive(now, typical_ms):
                 if fallback_cost is None or cost < fallback_cost:
@@ -118,7 +122,10 @@
         return best or fallback
 
     def candidates_of(self, pool: str) -> list[Candidate]:
-        """The usable endpoints of a pool. Kept until the next version: every request goes through all of them."""
+        """Return the usable endpoints of a pool.
+
+        The list is cached until the next version of the state, because every request iterates over it.
+        """
         candidates = self.candidates.get(pool)
         if candidates is None:
             routes = self.proxy.routes
@@ -131,7 +138,7 @@
         return candidates
 
     def candidate(self, incarnation: str, own_region: str) -> Candidate:
-        """An endpoint as a candidate of this proxy, which stands in `own_region`."""
+        """Return an endpoint as a candidate of this proxy, which is in `own_region`."""
         routes = self.proxy.routes
         row = proxy_part.endpoint_row(self.proxy, incarnation)
         region = routes.region_of(row['cell'])
@@ -143,7 +150,7 @@
         return Candidate(incarnation, row, view, region, distance_cost, routes.is_ejected(incarnation))
 
     def has_candidates(self, request: Request) -> bool:
-        """Whether the pool has endpoints that may get the request from this proxy, with room or not."""
+        """True if the pool has endpoints that this proxy may send the request to, whether they have room or not."""
         routes = self.proxy.routes
         endpoints: dict[str, rows.EndpointRow] = self.proxy.replica.get('endpoints')
         for incarnation in routes.service_endpoints(request.pool):
--- a/zinctrail/proxy/hedging.py
+++ b/zinctrail/proxy/hedging.py
@@ -1,6 +1,6 @@
-"""Hedged requests: what has no response after most of its latency target is sent to a second endpoint as well.
+"""Hedged requests: a request without a response after most of its latency target is also sent to a second endpoint.
 
-The first complete response counts. Only requests that may run more than once are hedged.
+The first complete response is used. Only requests that may run more than once are hedged.
 """
 
 import datetime
@@ -11,17 +11,18 @@
 import zinctrail.runtime.durations as durations
 
 Request = request_record.Request
-# The share of its latency target after which a request is hedged.
+# The fraction of its latency target after which a request is hedged.
 HEDGE_FRACTION = 0.6
-# The least time between two looks at what is to be hedged: waking up for each costs more than some milliseconds.
+# The minimum time between two checks for requests to hedge, because a timer for each request costs more than a delay
+# of some milliseconds.
 CHECK_INTERVAL = durations.ms(25)
-# When a hedge that had no endpoint or no budget is tried again: the budget earns a retry within some tenths of a
-# second, and an endpoint that dies holds several requests.
+# When a hedge that found no endpoint or no budget is tried again: the budget earns a retry within some tenths of a
+# second, and an endpoint that fails holds several requests.
 RETRY_INTERVAL = durations.ms(60)
 
 
 def first_hedge_at(request: Request, now: datetime.timedelta) -> datetime.timedelta:
-    """When a request that is sent now is hedged."""
+    """Return when a request that is sent now is hedged."""
     target = request.latency_target - request.received_at
     return max(now, request.received_at) + target * HEDGE_FRACTION
 
@@ -30,12 +31,12 @@
     """Plans and sends hedged requests."""
 
     def plan(self, request: Request, at: datetime.timedelta) -> None:
-        """Hedge a request at that time, unless a response comes first."""
+        """Schedule a hedge of the request at the given time, in case no response comes first."""
         request.hedge_at = at
         self.proxy.set_timer_by('hedge', at)
 
     def send_due_hedges(self) -> None:
-        """Hedge what is due."""
+        """Hedge the requests whose time has come, and set the timer for the next ones."""
         due: list[Request] = []
         later: list[datetime.timedelta] = []
         for request in self.proxy.runner.requests.values():
@@ -52,7 +53,7 @@
             self.proxy.set_timer_by('hedge', max(self.proxy.now + CHECK_INTERVAL, min(later)))
 
     def hedge(self, request: Request) -> None:
-        """Send a request to a second endpoint, if rule, budget and endpoints allow."""
+        """Send the request to a second endpoint, if its rule, the retry budget and the endpoints allow it."""
         if not self.proxy.open_upstream.may_send_again(request) or not self.proxy.leased():
             return
         request.tried.update(request.in_flight.values())
--- a/zinctrail/proxy/node.py
+++ b/zinctrail/proxy/node.py
@@ -1,4 +1,4 @@
-"""The proxy's state machine: the parts that serve requests, over the replicated state that a member holds."""
+"""The proxy's state machine: the parts that serve requests, based on a member's replica of the state."""
 
 import collections
 import datetime
@@ -32,52 +32,52 @@
 import zinctrail.runtime.effects as effects
 import zinctrail.runtime.settings as settings
 
-# How many other proxies a refusal names at the most.
+# The most other proxies that a refusal names.
 MAX_OTHER_PROXIES = 5
 
 
 class Proxy(member.Member):
-    """A proxy: requests, the passes that they go through, and the state that these act on."""
+    """A member that is a proxy: dispatches inputs, frames and timers to the parts that serve requests."""
 
     role = member_roles.PROXY
     prefix = 'prox'
-    # Its operations are claims and their closing, one each a request. Their nonces tell the copies of one from those
-    # of another at any time, so that no heartbeat round has to.
+    # Its operations are `claim` and `close`, one of each for a request. A nonce identifies the copies of an operation
+    # at any time, so that no heartbeat round is needed for it.
     sends_last_round = False
 
     def __init__(self, location: node_location.NodeLocation, bounds: settings.Settings, rng: random.Random):
         super().__init__(location, bounds, rng)
         self.routes = routing_table.RoutingTable(self.replica)
         self.counts: collections.Counter[str] = collections.Counter()
-        # The last number that `next_number` gave.
+        # The last number that `next_number` returned.
         self.last_number = 0
-        # Requests that are not answered yet, and the passes that they go through.
+        # Pending requests, and the pipeline stages that they go through.
         self.runner = request_runner.RequestRunner(self)
-        # What each service may be sent again.
+        # The retry budget of each service.
         self.retry_budgets = retry_budget.RetryBudgets(self)
-        # Claims of at-most-once requests, and their kept results.
+        # Claims of at-most-once requests, and their stored results.
         self.at_most_once = at_most_once.AtMostOnce(self)
         # Leased credit at the endpoints of each pool, and the requests that wait for it.
         self.credit = credit.CreditLeases(self)
-        # Clients' requests at endpoints, and their answers.
+        # Clients' requests at endpoints, and the responses to clients.
         self.upstream = upstream.Upstream(self)
         self.client_responses = client_responses.ClientResponses(self)
-        # Open traffic: requests that wait for a lease or for room, and the choice of an endpoint.
+        # Open traffic: requests that wait for a lease or for room, and endpoint selection with slow start.
         self.open_queue = open_queue.OpenQueue(self)
         self.endpoint_selection = endpoint_selection.EndpointSelection(self)
         self.slow_start = slow_start.SlowStart(self)
-        # Open traffic: requests at endpoints, second copies of slow ones, and answers.
+        # Open traffic: requests at endpoints, hedges of slow ones, and the responses to callers.
         self.open_upstream = open_upstream.OpenUpstream(self)
         self.hedging = hedging.Hedging(self)
         self.open_responses = open_responses.OpenResponses(self)
-        # Open traffic: callers that go away before their answer.
+        # Callers that disconnect before their response.
         self.client_disconnects = client_disconnects.ClientDisconnects(self)
-        # Open traffic: failures that the leader is told of, and limits that the server is told.
+        # Open traffic: failures that are reported to the leader, and limits that are passed to the server.
         self.outlier_reports = outlier_reports.OutlierReports(self)
         self.client_limits = client_limits.ClientLimits(self)
-        # Counters and times of requests, for the metrics page and the log.
+        # Counters and latencies of requests, for the metrics page and the log.
         self.request_metrics = request_metrics.RequestMetrics(self)
-        # Readiness, and the end of the process.
+        # Readiness and graceful shutdown.
         self.shutdown = shutdown.Shutdown(self)
 
     def on_start(self) -> None:
@@ -87,18 +87,18 @@
         self.set_timer('demand', self.settings.demand)
 
     def on_stop(self) -> None:
-        """Input: the process is told to end."""
+        """Input: the process was told to stop."""
         self.shutdown.begin()
 
-    # -- what its parts share -------------------------------------------------
+    # -- shared by its parts --------------------------------------------------
 
     def next_number(self) -> int:
-        """A number that this process has not used before: of fetches, claims, queries."""
+        """Return a number that is unique within this process, for fetches, claims, queries and credit requests."""
         self.last_number += 1
         return self.last_number
 
     def set_timer_by(self, name: str, at: datetime.timedelta) -> None:
-        """Have a timer fire at `at` at the latest; one that is set for sooner stays."""
+        """Set a timer to fire at `at` at the latest; a timer that is set to fire earlier is left as it is."""
         self.timers[name] = min(at, self.timers.get(name, at))
 
     # -- calls of the HTTP interface and of open traffic ----------------------
@@ -116,25 +116,25 @@
         self.runner.begin_open_request(call_id, call)
 
     def on_hung_up(self, call_id: typing.Any) -> None:
-        """Input: the caller went away before its answer."""
+        """Input: the caller disconnected before its response."""
         self.client_disconnects.handle_disconnect(call_id)
 
     # -- frames and fetches, as they come in --------------------------------
 
     def on_result_request(self, message: traffic_messages.ResultRequest) -> None:
-        """Another proxy asks for the result of an id."""
+        """Frame: another proxy queries the result of a request id."""
         self.at_most_once.handle_result_request(message)
 
     def on_result_response(self, message: traffic_messages.ResultResponse) -> None:
-        """The answer of another proxy that owns a claim."""
+        """Frame: the response to a result query, from the proxy that owns the claim."""
         self.at_most_once.handle_result_response(message)
 
     def on_credit_grant(self, message: traffic_messages.CreditGrant) -> None:
-        """A grant of a pool's credit ledger."""
+        """Frame: a grant of a pool's credit ledger."""
         self.credit.handle_grant(message)
 
     def on_credit_collection(self, message: traffic_messages.CreditCollection) -> None:
-        """A new credit ledger asks what this proxy holds."""
+        """Frame: a new credit ledger queries the credit that this proxy holds."""
         self.credit.handle_collection(message)
 
     def on_fetched(self, fetch_id: int, result: effects.HttpResult) -> None:
@@ -143,69 +143,69 @@
             self.open_upstream.handle_fetch_result(fetch_id, result)
         elif fetch_id in self.upstream.fetches:
             self.upstream.handle_fetch_result(fetch_id, result)
-        # Any other was cancelled while its result was under way to us.
+        # Any other fetch was cancelled while its result was on its way.
 
     # -- timers -------------------------------------------------------------
 
     def timer_deadlines(self) -> None:
-        """A request may have reached its deadline."""
+        """Timer: a request may have reached its deadline."""
         self.runner.expire_requests()
 
     def timer_demand(self) -> None:
-        """It is time to report the demand for credit."""
+        """Timer: the demand for credit is reported."""
         self.credit.report_demand()
 
     def timer_credit_requests(self) -> None:
-        """Credit that requests wait for may be asked for again."""
+        """Timer: credit may be requested again for the queued requests."""
         self.credit.request_credit_for_queues()
 
     def timer_reserved_slots(self) -> None:
-        """The work behind a lost response may have ended."""
+        """Timer: the reservation of a slot whose response was lost may have expired."""
         self.upstream.release_reserved_slots()
 
     def timer_queued(self) -> None:
-        """Requests of open traffic that wait may go on."""
+        """Timer: queued requests of open traffic are tried again."""
         self.open_queue.run_queued()
 
     def timer_hedge(self) -> None:
-        """A request of open traffic may have to be hedged."""
+        """Timer: a request of open traffic may be due for a hedge."""
         self.hedging.send_due_hedges()
 
     def timer_failure_report(self) -> None:
-        """It is time to report failures of endpoints."""
+        """Timer: the collected failures of endpoints are reported."""
         self.outlier_reports.send_report()
 
     def timer_drain(self) -> None:
-        """It is time to see whether all requests are answered."""
+        """Timer: the shutdown checks whether any requests are pending."""
         self.shutdown.drain()
 
     def ready(self) -> tuple[bool, str]:
-        """Whether traffic may be sent here, else why not."""
+        """Return (whether traffic may be sent to this proxy, the reason if not)."""
         return self.shutdown.ready()
 
     def measures(self) -> typing.Iterator[tuple]:
-        """Rows of runtime/metrics.py."""
+        """Yield the metrics of the process (runtime/metrics.py)."""
         yield from super().measures()
         yield from self.request_metrics.rows()
         yield from self.client_disconnects.rows()
 
     def applied(self, rows: list | None) -> None:
-        """A version of the state came into force; `rows` are its changes, None: all of it."""
+        """Update all parts after a new version of the state; `rows` are the changed rows, None: all of them."""
         self.routes.invalidate()
-        self.endpoint_selection.forget_candidates()
+        self.endpoint_selection.discard_candidates()
         self.slow_start.update()
         self.client_limits.update()
-        self.endpoint_selection.forget_removed_views()
+        self.endpoint_selection.discard_removed_views()
         self.retry_budgets.observe_proxies()
-        self.upstream.forget_removed_endpoints()
-        self.at_most_once.forget_old_results()
+        self.upstream.discard_removed_endpoints()
+        self.at_most_once.discard_old_results()
         for key in self.replica.get('duties'):
             pool = key.removeprefix('keeper/')
             self.credit.request_credit(pool, credit.REQUEST_INTERVAL)
             self.credit.retry_queued(pool)
 
     def other_proxies(self, allowed_regions: tuple) -> list[str]:
-        """HTTP addresses of proxies that a refused caller may try."""
+        """Return HTTP addresses of other proxies that a refused caller may try."""
         addresses = [
             row['http']
             for node, row in self.routes.members(member_roles.PROXY).items()
@@ -217,14 +217,15 @@
         return sorted(addresses)[:MAX_OTHER_PROXIES]
 
     def status(self) -> dict:
-        """The JSON of /v1/self; its names are part of the HTTP interface."""
+        """Return the JSON of /v1/self; its field names are part of the HTTP interface."""
         status = super().status()
         status.update(
             table=len(self.runner.requests),
             kept=len(self.at_most_once.stored_results),
             counts=dict(self.counts),
             held=len(self.upstream.reserved_slots),
-            # What each service may be sent again now: earned by first attempts, and out of the fixed allowance.
+            # The retry budget of each service: the retries earned by first attempts and not spent, and the retries
+            # that were sent out of the fixed allowance within the window.
             repeats={
                 name: {'paid': round(budget.earned, 1), 'lent': len(budget.borrowed)}
                 for name, budget in self.retry_budgets.budgets.items()
--- a/zinctrail/proxy/open_pipeline.py
+++ b/zinctrail/proxy/open_pipeline.py
@@ -1,11 +1,12 @@
-"""The passes that a request of open traffic goes through, in order.
-
-Open traffic is matched by host and path, for endpoints that link no library
-of ours. Such an endpoint returns the id of the request and a stamp, says by a
-header what it surely did not run, and refuses what names another incarnation.
-What it was sent and did not refuse may have run. Each id is one attempt of
-its caller and reaches one proxy, so an attempt that may run at most once is
-never sent again after it may have run (docs/notes/open-traffic.md).
+"""The pipeline stages of a request of open traffic, in order.
+
+Open traffic is routed by host and path, to endpoints that do not link the
+endpoint library. Such an endpoint returns the request's id and a stamp,
+declares by a header that it did not run a request, and refuses requests that
+name another incarnation. Any request that it was sent and did not refuse may
+have run. Each id is one attempt of its caller and reaches one proxy. An
+at-most-once request is therefore never sent again after it may have run
+(docs/notes/open-traffic.md).
 """
 
 import zinctrail.control.routing_table as routing_table
@@ -19,11 +20,11 @@
 GO, WAIT = request_record.GO, request_record.WAIT
 Request = request_record.Request
 MAX_ID_LENGTH = 200
-# How long a request waits for a lease: a leader that is being replaced is back in little more.
+# How long a request waits for a lease of this proxy: the election of a new leader takes little longer.
 LEASE_WAIT = durations.ms(100)
-# A request may wait for room for this part of its latency target, a fifth: then another proxy can still serve it.
+# A request may wait for room for a fifth of its latency target, so that another proxy can still serve it afterwards.
 QUEUE_DIVISOR = 5
-# Bounds of the milliseconds until a refused caller's retry, and what its time counts as where it is not known.
+# Bounds of the milliseconds until a refused caller's retry, and the remaining time assumed if there is no deadline.
 MIN_RETRY_MS, MAX_RETRY_MS = 50, 1000
 DEFAULT_REMAINING_MS = 900
 # Milliseconds after which a refused caller may retry, by cause.
@@ -33,13 +34,13 @@
 
 
 def retry_ms(proxy: proxy_part.ProxyNode, request: Request) -> int:
-    """Milliseconds until another attempt: a third of the time left, which most faults need to pass."""
+    """Return the milliseconds until a retry: a third of the remaining time, which most faults need to pass."""
     remaining = durations.to_ms(request.deadline - proxy.now) if request.deadline else DEFAULT_REMAINING_MS
     return min(MAX_RETRY_MS, max(MIN_RETRY_MS, remaining // 3))
 
 
 def accept(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Read the headers; refuse it, or let it wait, where this proxy can not serve it now."""
+    """Read the headers; refuse the request, or queue it for a lease, if this proxy can not serve it now."""
     headers = request.call.headers
     request.id = headers.get('zt-id', '')
     if not request.id or len(request.id) > MAX_ID_LENGTH:
@@ -48,7 +49,7 @@
     if remaining_ms is not None:
         request.deadline = request.received_at + durations.ms(remaining_ms)
     if proxy.shutdown.refuses_open_traffic:
-        # It would still be in flight when the process has to exit.
+        # A request that is accepted now would still be in flight when the process has to exit.
         raise refusals.Unavailable('leaving', RETRY_LEAVING_MS)
     if len(proxy.runner.requests) > proxy.settings.queue_most:
         raise refusals.Unavailable('busy', retry_ms(proxy, request))
@@ -61,12 +62,12 @@
 
 
 def no_lease(proxy: proxy_part.ProxyNode, request: Request) -> refusals.Unavailable:
-    """The refusal of a request while this proxy may not act on the state that it holds."""
+    """Return the refusal of a request while this proxy has no lease on its replica of the state."""
     return refusals.Unavailable('no lease on the state', retry_ms(proxy, request))
 
 
 def match_route(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Find the rule for its host and path; set the pool, the deadline and the latency target."""
+    """Find the rule for the host and path; set the request's pool, deadline and latency target."""
     path = request.call.path.split('?', 1)[0]
     rule = proxy.routes.rule_for_path(routing_table.without_port(request.call.headers.get('host', '')), path)
     if rule is None:
@@ -83,12 +84,12 @@
 
 
 def choose_endpoint(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Choose an endpoint with room; wait for room at the first attempt."""
+    """Choose an endpoint with room; queue the request for room if it was not sent before."""
     if request.send_count:
-        # Looked at before the choice: a retry that the budget refuses need not wait for room.
+        # Checked before an endpoint is chosen, so that a retry that the budget refuses does not wait for room.
         proxy.retry_budgets.require(request)
     if not proxy.leased():
-        # Looked at again: it may have waited, or been sent before, and the state may be outdated since.
+        # Checked again, because the lease may have expired while the request waited or was at an endpoint.
         raise no_lease(proxy, request)
     incarnation = proxy.endpoint_selection.choose_endpoint(request)
     if incarnation is None:
@@ -105,7 +106,7 @@
 
 
 def send(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Send it on, if any endpoint can serve it in the time that is left."""
+    """Send the request to the chosen endpoint, if any endpoint can serve it in the remaining time."""
     if proxy.now >= request.deadline:
         raise refusals.DeadlineExceeded
     if not request.send_count and proxy.open_upstream.is_too_late(request):
@@ -116,7 +117,7 @@
 
 
 def check_response(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Pass on a complete response; retry or refuse after any other."""
+    """Go on with a complete response; retry or refuse the request after any other result."""
     result = request.result
     if not result.sent:
         return retry_unsent(proxy, request)
@@ -139,7 +140,7 @@
 
 
 def retry_unsent(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Retry what surely reached no endpoint: that attempt is not counted."""
+    """Retry a request that certainly reached no endpoint; that send is not counted."""
     proxy.open_upstream.back_off_endpoint(request.incarnation)
     if not request.is_retry:
         proxy.retry_budgets.budget_of(request.pool).return_earned()
@@ -149,7 +150,7 @@
 
 
 def respond(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Give the caller the endpoint's response."""
+    """Respond to the caller with the endpoint's response."""
     proxy.open_responses.respond_result(request)
     return WAIT
 
--- a/zinctrail/proxy/open_responses.py
+++ b/zinctrail/proxy/open_responses.py
@@ -1,4 +1,4 @@
-"""Responses of open traffic: which of an endpoint's are complete, and the answers of this proxy."""
+"""Responses of open traffic: the validation of endpoints' responses, and the responses to callers."""
 
 import zinctrail.proxy.proxy_part as proxy_part
 import zinctrail.proxy.refusals as refusals
@@ -6,7 +6,7 @@
 import zinctrail.runtime.effects as effects
 
 Request = request_record.Request
-# Headers of one connection only, and those that this proxy sets itself.
+# Headers that concern one connection only, and those that this proxy sets itself.
 HOP_BY_HOP = (
     'connection',
     'keep-alive',
@@ -21,25 +21,25 @@
     'zt-left-ms',
     'zt-inc',
 )
-# No caller may have these removed on the way by naming them in `connection`.
+# Headers that are passed on even if the header `connection` names them.
 NEVER_REMOVED = {'zt-id', 'host'}
-# Statuses by which a caller is promised that its request did not run and never will.
+# Statuses that promise the caller that its request did not run and never will.
 NOT_RUN_STATUSES = (408, 429, 503)
 MISDIRECTED = 421
 
 
 def end_to_end_headers(headers: dict[str, str]) -> dict[str, str]:
-    """The headers that concern more than one connection."""
-    # A header that `connection` names is of that connection only (RFC 9110, 7.6.1).
+    """Return the end-to-end headers: those that concern more than one connection."""
+    # A header that `connection` names concerns that connection only (RFC 9110, 7.6.1).
     named = {name.strip().lower() for name in headers.get('connection', '').split(',')} - NEVER_REMOVED
     return {name: value for name, value in headers.items() if name not in HOP_BY_HOP and name not in named}
 
 
 def is_refused(request: Request, result: effects.HttpResult) -> bool:
-    """Whether the endpoint says, of this very request, that it did not run it and will not.
+    """True if the endpoint declares that it did not run this request and never will.
 
-    A response to another request, which comes late in the place of ours, or
-    one that names no request promises nothing of ours.
+    The response must name this request's id: a late response to another
+    request, or one without an id, promises nothing about this request.
     """
     return (
         not result.fault
@@ -49,7 +49,7 @@
 
 
 def response_error(request: Request, result: effects.HttpResult) -> str:
-    """Why a response is not complete or not of this request; '' if it is."""
+    """Return why a result is not a complete response to this request; '' if it is one."""
     if result.fault:
         return result.fault
     if result.headers.get('zt-id') != request.id:
@@ -59,16 +59,16 @@
     if 'content-encoding' in result.headers:
         return 'reply in an encoding that nobody asked for'
     if result.status in NOT_RUN_STATUSES and 'zt-not-run' not in result.headers:
-        # To its caller the status would promise that nothing ran, and the endpoint does not say so.
+        # The status would promise the caller that nothing ran, which the endpoint did not declare.
         return f'a {result.status} that does not say whether it ran'
     return ''
 
 
 class OpenResponses(proxy_part.ProxyPart):
-    """Answers requests of open traffic, also at their deadlines."""
+    """Sends the responses to requests of open traffic, also at their deadlines."""
 
     def respond_result(self, request: Request) -> None:
-        """Answer with the endpoint's response."""
+        """Respond with the endpoint's response."""
         result = request.result
         self.proxy.counts[refusals.RAN] += 1
         self.proxy.request_metrics.observe_end(request, result.status, refusals.RAN)
@@ -76,13 +76,13 @@
         self.complete(request, result.status, headers, result.body)
 
     def respond_refusal(self, request: Request, refusal: refusals.Refusal) -> None:
-        """Answer with a refusal as plain text."""
+        """Respond with a refusal as plain text."""
         status, outcome = refusal.status, refusal.outcome
         if outcome == refusals.UNKNOWN and status == 503:
-            # That status promises that nothing ran.
+            # 503 promises that nothing ran.
             status = 502
         elif outcome == refusals.NOT_RUN and status == 504:
-            # Nothing of it was sent, so the promise can be made.
+            # Nothing ran, so 503 can promise it.
             status = 503
         headers = {'content-type': 'text/plain', 'zt-outcome': outcome}
         if outcome == refusals.NOT_RUN and refusal.retry_ms is not None:
@@ -92,12 +92,12 @@
         self.complete(request, status, headers, f'{refusal}\n'.encode())
 
     def complete(self, request: Request, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Answer the call."""
+        """Send the response, and end the request."""
         self.proxy.runner.remove(request)
         self.proxy.out.append(effects.HttpResponse(request.call_id, status, headers, body))
 
     def handle_deadline(self, request: Request) -> None:
-        """Give a request up whose deadline is reached."""
+        """Refuse a request whose deadline has passed, with the outcome that follows from where it is."""
         if request.waiting_for is request_record.Waiting.ROOM and not request.may_have_run:
             self.proxy.runner.refuse(request, refusals.DeadlineExceeded())
         elif request.in_flight:
--- a/zinctrail/proxy/open_upstream.py
+++ b/zinctrail/proxy/open_upstream.py
@@ -1,4 +1,4 @@
-"""Requests of open traffic on their way to endpoints, what comes back, and retries."""
+"""Open traffic between this proxy and endpoints: sends, results, cancellations and retries."""
 
 import datetime
 import typing
@@ -13,14 +13,14 @@
 import zinctrail.runtime.effects as effects
 
 Request = request_record.Request
-# How much longer than the caller a fetch waits.
+# How much longer than the request's deadline a fetch waits.
 FETCH_MARGIN = durations.ms(20)
-# The share of its latency target below which the time that is left is next to nothing.
+# The fraction of the latency target below which the remaining time may be too short for any endpoint.
 MIN_REMAINING_FRACTION = 0.1
 
 
 class OpenFetch(typing.NamedTuple):
-    """A request at an endpoint; one that is hedged has several."""
+    """A request in flight at an endpoint; a hedged request has several."""
 
     request: Request
     incarnation: str
@@ -28,16 +28,16 @@
 
 
 class OpenUpstream(proxy_part.ProxyPart):
-    """Sends requests of open traffic, takes their results, retries."""
+    """Sends requests of open traffic to endpoints, handles the results, and retries."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up with nothing in flight."""
+        """Start with no requests in flight."""
         super().__init__(proxy)
-        # {fetch id: the request at an endpoint}.
+        # {fetch id: the fetch in flight}.
         self.fetches: dict[int, OpenFetch] = {}
 
     def send(self, request: Request) -> None:
-        """Send a request to the endpoint that was chosen for it."""
+        """Send a request to the endpoint that was chosen for it, and plan its hedge."""
         proxy, now = self.proxy, self.proxy.now
         view = proxy.endpoint_selection.view_of(request.incarnation)
         if not view.in_use:
@@ -72,7 +72,7 @@
         )
 
     def handle_fetch_result(self, fetch_id: int, result: effects.HttpResult) -> None:
-        """A fetch ended."""
+        """Handle the end of a fetch: update the endpoint's view, resume the request, and process the queue."""
         proxy = self.proxy
         request, incarnation, sent_at = self.fetches.pop(fetch_id)
         view = proxy.endpoint_selection.endpoint_views.get(incarnation)
@@ -96,7 +96,7 @@
             proxy.open_queue.run_queued()
 
     def cancel(self, request: Request) -> None:
-        """Give up what a request still has at endpoints; nobody waits for it."""
+        """Cancel the fetches of a request that are still in flight, since no caller waits for them."""
         if not request.in_flight:
             return
         proxy = self.proxy
@@ -112,16 +112,16 @@
             proxy.open_queue.run_queued()
 
     def back_off_endpoint(self, incarnation: str) -> None:
-        """Leave an endpoint out for a while, longer each time, and have the leader look at it."""
+        """Avoid an endpoint for a while, longer each time, and report it to the leader as unreachable."""
         self.proxy.endpoint_selection.view_of(incarnation).back_off(self.proxy.now)
         self.proxy.upstream.report_unreachable(incarnation)
 
     def is_too_late(self, request: Request) -> bool:
-        """Whether next to nothing of its time is left, and less than its pool usually takes.
+        """True if the remaining time is a small fraction of the latency target and below the pool's typical latency.
 
-        Such a request is refused, not sent: its outcome would be unknown to a
-        caller that can still be told that it did not run, and the endpoint
-        would work for nobody.
+        Such a request is refused instead of sent: the caller can still learn
+        that it did not run. If it were sent, its outcome would most likely be
+        unknown, and the endpoint's work wasted.
         """
         remaining = request.deadline - self.proxy.now
         least = (request.latency_target - request.received_at) * MIN_REMAINING_FRACTION
@@ -130,7 +130,7 @@
         )
 
     def may_send_again(self, request: Request) -> bool:
-        """Whether the rule's attempts and the time allow one more send, and its caller still waits."""
+        """True if the rule's attempts and the deadline allow one more send, and the caller has not disconnected."""
         return (
             request.send_count < request.open_rule.get('attempts', 1)
             and self.proxy.now < request.deadline
@@ -138,14 +138,14 @@
         )
 
     def retry(self, request: Request, refusal: refusals.Refusal | None) -> bool:
-        """Send it again where rule, time and retry budget allow; else refuse it.
+        """Send the request again if rule, deadline and retry budget allow it; otherwise raise `refusal`.
 
-        Without a refusal the response that came is passed on.
+        If `refusal` is None, the response that was received is passed on instead.
         """
         request.tried.add(request.incarnation)
         request.is_retry = request.send_count > 0
         if request.in_flight:
-            # It was hedged, and the other response is still to come.
+            # The request was hedged, and the other response may still come.
             request.position = request.stages.index(open_pipeline.check_response)
             return request_record.WAIT
         if self.may_send_again(request):
@@ -158,7 +158,7 @@
                     self.proxy.runner.resume(request, open_pipeline.choose_endpoint)
                     return request_record.WAIT
             except refusals.Refusal:
-                # What is known of this attempt is a truer answer than that the retry budget is spent.
+                # The result of this attempt tells the caller more than that the retry budget is spent.
                 pass
         if refusal is None:
             return request_record.GO
--- a/zinctrail/proxy/outlier_reports.py
+++ b/zinctrail/proxy/outlier_reports.py
@@ -1,7 +1,7 @@
-"""What this proxy learns of endpoints from their responses, and its reports of failures to the leader.
+"""Observation of endpoints by their responses, and reports of their failures to the leader.
 
-One of many proxies meets an endpoint too seldom to judge it alone; the leader
-judges by the reports of all (control/outlier_detection.py).
+One of many proxies sends an endpoint too few requests to judge it alone; the
+leader judges by the reports of all proxies (control/outlier_detection.py).
 """
 
 import zinctrail.consensus.traffic_messages as traffic_messages
@@ -14,29 +14,30 @@
 import zinctrail.runtime.parsing as parsing
 
 Request = request_record.Request
-# How many endpoints one report names at the most, and how long failures are collected for it: under a fault many
-# requests fail at once.
+# The most endpoints in one report, and how long failures are collected for it, since a fault makes many requests fail
+# at once.
 MAX_REPORTED_ENDPOINTS = 32
 REPORT_DELAY = durations.ms(50)
-# A failure at the end of a caller's time, when less of the rule's than this share was used, says little of an endpoint.
+# A failure at the request's deadline, after less than this fraction of the rule's timeout, is not reported: the caller
+# allowed little time, so the failure says little about the endpoint.
 MIN_TIMEOUT_FRACTION = 1 / 2
 DEADLINE_MARGIN = durations.ms(30)
 
 
 class OutlierReports(proxy_part.ProxyPart):
-    """Observes responses, collects and sends reports of failures."""
+    """Observes the results of fetches, and reports failures to the leader."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up with nothing to report."""
+        """Start with nothing to report."""
         super().__init__(proxy)
-        # {incarnation: (successes, failures)} that the leader was not told of yet.
+        # {incarnation: (successes, failures)} not yet reported to the leader.
         self.unreported: dict[str, tuple[int, int]] = {}
 
     def observe_load(self, view: endpoint_view.EndpointView, result: effects.HttpResult) -> None:
-        """Take the load that an endpoint reports: `zt-load` is "running,queued,slots"."""
+        """Record the load that an endpoint reports in the header `zt-load`: "running,queued,slots"."""
         parts = result.headers.get('zt-load', '').split(',')
         if len(parts) == 3 and all(parsing.is_whole(part.strip()) for part in parts):
-            # One less is running: the request that this response ends.
+            # One less than reported is running, because the request of this response has ended.
             view.report_load(self.proxy.now, max(0, int(parts[0]) - 1) + int(parts[1]))
 
     def observe_response(
@@ -47,7 +48,7 @@
         result: effects.HttpResult,
         latency_ms: int,
     ) -> None:
-        """Count a success or a failure of an endpoint; what it did not run says nothing of it."""
+        """Record a success or a failure of an endpoint; a request that it did not run is neither."""
         if not result.sent or open_responses.is_refused(request, result):
             return
         has_failed = bool(open_responses.response_error(request, result)) or result.status >= 500
@@ -61,7 +62,10 @@
             )
 
     def observe_cancelled(self, request: Request, view: endpoint_view.EndpointView, latency_ms: int) -> None:
-        """A request was given up before its endpoint responded; the leader is not told, as no response was due."""
+        """Record a request that was cancelled before its endpoint responded.
+
+        It is not reported to the leader, because no response was due yet.
+        """
         view.observe_cancelled(
             self.proxy.now, latency_ms, self.proxy.endpoint_selection.typical_ms.get(request.pool, 0.0)
         )
@@ -69,10 +73,10 @@
     def report_failure(
         self, request: Request, view: endpoint_view.EndpointView, incarnation: str, latency_ms: int
     ) -> None:
-        """Collect a failure for the next report, with the successes since the last one."""
+        """Add a failure to the next report, with the successes since the last one."""
         is_short = latency_ms < request.open_rule['timeout_ms'] * MIN_TIMEOUT_FRACTION
         if is_short and self.proxy.now >= request.deadline - DEADLINE_MARGIN:
-            # The caller gave it little time.
+            # The caller allowed the endpoint little time.
             return
         successes, failures = self.unreported.get(incarnation, (0, 0))
         self.unreported[incarnation] = (successes + view.successes, failures + 1)
--- a/zinctrail/proxy/pipeline.py
+++ b/zinctrail/proxy/pipeline.py
@@ -1,8 +1,8 @@
-"""The passes that a client's request goes through, in order.
+"""The pipeline stages of a client's request, in order.
 
-A pass takes the proxy and the request. It returns GO (the next pass runs) or
-WAIT (it is parked, somebody resumes it), or raises a Refusal. STAGES is the
-registry.
+A stage takes the proxy and the request. It returns GO (the next stage runs) or
+WAIT (the request is parked or responded to; the part that it waits for resumes
+it), or raises a Refusal. STAGES is the registry.
 """
 
 import re
@@ -19,7 +19,7 @@
 
 GO, WAIT = request_record.GO, request_record.WAIT
 Request = request_record.Request
-# An epoch, a dot, and the caller's own part.
+# A request id: an epoch, a dot, and a part that the caller chooses.
 ID_PATTERN = re.compile(r'[0-9]{1,11}\.[A-Za-z0-9_-]{1,64}\Z')
 MAX_ATTEMPTS = 1000
 DEFAULT_DEADLINE_MS = 5000
@@ -29,12 +29,12 @@
 RETRY_EVACUATED_MS = 100
 RETRY_NO_CREDIT_MS = 500
 RETRY_ENDPOINT_MS = 300
-# How the usual time of a pool shrinks with each request that is refused for it.
+# The factor by which a pool's smoothed latency decreases with each request that is refused because of it.
 LATENCY_DECAY = 0.95
 
 
 def parse_labels(text: str) -> dict[str, str]:
-    """The labels of a `zt-labels` header."""
+    """Return the labels in the text of a `zt-labels` header."""
     labels = {}
     for part in text.split(','):
         key, equals, value = part.strip().partition('=')
@@ -46,7 +46,7 @@
 
 
 def accept(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Read the headers and the path; refuse it where this proxy may not serve it now."""
+    """Read the headers and the path; refuse the request if this proxy may not serve it now."""
     read_identity(request)
     remaining_ms = admission.remaining_time_ms(request.call.headers, 'zt-left-ms')
     if remaining_ms is not None:
@@ -64,10 +64,10 @@
 
 
 def read_identity(request: Request) -> None:
-    """The attempt number and the id."""
+    """Read the request's id and attempt number, and refuse malformed ones."""
     headers = request.call.headers
     request.id = headers.get('zt-id', '')
-    # The attempt number is read first: without it no refusal could say which attempt it speaks of.
+    # The attempt number is checked first, because every later refusal has to name the attempt.
     attempt = headers.get('zt-attempt', '1')
     if not parsing.is_whole(attempt) or len(attempt) > admission.MAX_DIGITS or not 1 <= int(attempt) <= MAX_ATTEMPTS:
         raise refusals.MalformedRequest('zt-attempt must be a whole number from 1 to 1000')
@@ -77,7 +77,7 @@
 
 
 def read_path(request: Request) -> None:
-    """The service, and the path at its endpoints, out of /r/SERVICE/..."""
+    """Read the service, and the path at its endpoints, from /r/SERVICE/..."""
     parts = request.call.path.split('?', 1)[0].split('/', 3)
     if len(parts) < 3 or parts[1] != 'r' or not parts[2]:
         raise refusals.NoRoute('no such page: requests go to /r/SERVICE/...')
@@ -86,7 +86,7 @@
 
 
 def require_lease(proxy: proxy_part.ProxyNode, request: Request) -> None:
-    """Refuse it while this proxy may not act on the state that it holds; a proxy with a lease can serve it."""
+    """Refuse the request while this proxy has no lease on its replica; the refusal names proxies that may have one."""
     if not proxy.leased():
         raise refusals.Unavailable(
             'no lease on the state', RETRY_NO_LEASE_MS, elsewhere=proxy.other_proxies(request.allowed_regions)
@@ -94,7 +94,7 @@
 
 
 def require_location(proxy: proxy_part.ProxyNode, request: Request) -> None:
-    """Refuse it where this proxy lies outside the home regions, or in an evacuated zone, as these are now."""
+    """Refuse the request if this proxy is outside its home regions or in an evacuated zone, by the current state."""
     if proxy.at_most_once.is_outside_home(request, proxy.location.cell):
         raise refusals.Refusal(
             403, 'this proxy lies outside the home regions', elsewhere=proxy.other_proxies(request.allowed_regions)
@@ -106,7 +106,7 @@
 
 
 def match_route(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Find the rule for its labels; set the pool and the deadline."""
+    """Find the rule for the request's labels; set its pool and deadline."""
     labels = parse_labels(request.call.headers.get('zt-labels', ''))
     labels['service'] = request.service
     _, rule = proxy.routes.rule_for_labels(labels)
@@ -119,7 +119,7 @@
 
 
 def replay_stored(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Answer an at-most-once id that this proxy knows from its one run, now or when that ends."""
+    """Replay the result of an at-most-once id that this proxy knows, at once or when the running attempt ends."""
     if not request.at_most_once:
         return GO
     stored = proxy.at_most_once.stored_results.get(request.id)
@@ -136,13 +136,13 @@
 
 
 def claim(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Have the leader commit that this attempt, through this proxy, is the one that may run."""
+    """Claim the id: have the leader commit that only this attempt, through this proxy, may run."""
     if not request.at_most_once or request.is_claimed:
         return GO
     epoch = proxy.replica.get('meta', 'epoch') or 0
-    # An id of a later epoch than ours is accepted: its maker may have seen a newer state than this proxy.
+    # An id of a later epoch is accepted, because its creator may have seen a newer state than this proxy.
     if at_most_once.epoch_of(request) <= epoch - proxy.settings.epochs_kept:
-        # Its claim is forgotten, so that it may have run.
+        # Claims of that epoch are no longer retained, so an earlier attempt may have run.
         raise refusals.OutcomeUnknown(409, 'request id of an epoch no longer kept', epoch=epoch)
     request.claim_nonce = f'{proxy.node}.{proxy.next_number()}'
     proxy.at_most_once.begin_result(request)
@@ -164,8 +164,8 @@
 
 
 def check_retry_budget(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Refuse a retry, the caller's or ours, that the budget can't pay for before it waits for credit."""
-    # A caller may send an id again as its first attempt, which only a claim would show; hence the look at recent ids.
+    """Refuse a retry, by the caller or this proxy, that exceeds the retry budget, before it waits for credit."""
+    # A caller may send an id again as attempt 1. Without a claim to show that, recent ids are checked.
     request.is_retry = request.attempt > 1 or request.send_count > 0 or proxy.retry_budgets.was_seen_before(request)
     if request.is_retry and not request.is_charged:
         proxy.retry_budgets.require(request)
@@ -173,15 +173,15 @@
 
 
 def no_credit() -> refusals.Unavailable:
-    """The refusal of a request for which no endpoint has room in time."""
+    """Return the refusal of a request for which no endpoint has room in time."""
     return refusals.Unavailable('no endpoint can take this now', RETRY_NO_CREDIT_MS)
 
 
 def acquire_credit(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Choose an endpoint at which this proxy has credit; wait for credit where that can be in time."""
+    """Choose an endpoint at which this proxy has credit; queue the request for credit if that may come in time."""
     incarnation = proxy.credit.choose_endpoint(request)
     if incarnation is None:
-        # What can't be served in time is refused now, while its caller can still try elsewhere.
+        # A request that can't be served in time is refused now, while its caller can still try another proxy.
         queued = len(proxy.credit.pool_credit(request.pool).queue)
         if not proxy.credit.can_wait(request, queued, proxy.credit.pool_capacity(request.pool)):
             raise no_credit()
@@ -192,19 +192,21 @@
 
 
 def send(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Send it on, after what was checked at its arrival is checked again: time has passed since."""
+    """Send the request to the chosen endpoint, after repeating the checks of its arrival, since time has passed."""
     if proxy.now >= request.deadline:
         raise refusals.DeadlineExceeded
     pool = proxy.credit.pool_credit(request.pool)
-    # Half of the usual time, because what hardly ever ends in time is wasted work with an unknown outcome.
+    # With less than half of the smoothed latency remaining, a response would hardly ever come in time, and the work
+    # would be wasted with an unknown outcome.
     if request.deadline - proxy.now < durations.ms(pool.latency_ms / 2):
-        # The usual time shrinks: unless a request is sent now and then, nothing shows that the pool got faster.
+        # The smoothed latency is reduced, so that a request is sent now and then: otherwise nothing would show that
+        # the pool got faster.
         pool.latency_ms *= LATENCY_DECAY
         raise refusals.DeadlineExceeded('not enough time left for this service')
     require_lease(proxy, request)
     require_location(proxy, request)
     if not request.is_charged:
-        # Charged only here, because the budget bounds what endpoints are sent, at the time they are sent it.
+        # Charged only here, because the budget bounds the sends to endpoints at the time of sending.
         admission.charge_retry_budget(proxy, request, request.is_retry)
         request.is_charged = True
     proxy.upstream.send(request)
@@ -212,7 +214,7 @@
 
 
 def response_error(request: Request, result: effects.HttpResult) -> str:
-    """Why a response is not complete, of this request and by this incarnation; '' if it is."""
+    """Return why a result is not a complete response to this request by its incarnation; '' if it is one."""
     headers = result.headers
     if result.fault:
         return result.fault
@@ -228,7 +230,7 @@
 
 
 def check_response(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Pass on a complete response; retry or refuse after any other."""
+    """Go on with a complete response; retry or refuse the request after any other result."""
     result = request.result
     if not result.sent:
         proxy.upstream.mark_unreachable(request.incarnation)
@@ -249,7 +251,7 @@
 
 
 def respond(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Give the caller the endpoint's response."""
+    """Respond to the caller with the endpoint's response."""
     proxy.client_responses.respond_result(request)
     return WAIT
 
--- a/zinctrail/proxy/proxy_part.py
+++ b/zinctrail/proxy/proxy_part.py
@@ -1,4 +1,4 @@
-"""What the parts of a proxy have in common: the node as they see it, and how they reach each other."""
+"""The base class of the parts of a proxy, and the interface of the node through which they reach each other."""
 
 import collections
 import datetime
@@ -36,26 +36,26 @@
 
 
 class ProxyNode(typing.Protocol):
-    """What the parts of a proxy need of its node (node.py)."""
+    """The interface of the proxy's node (node.py) for its parts."""
 
     node: str
-    # The time of the input that is handled, and the effects that it has so far.
+    # The time of the input that is being handled, and the effects that it has produced so far.
     now: datetime.timedelta
     out: list
     timers: dict[str, datetime.timedelta]
     rng: random.Random
     location: node_location.NodeLocation
     settings: settings.Settings
-    # The replicated state as this proxy holds it, and the part that it routes by.
+    # This proxy's replica of the state, and the routing table derived from it.
     replica: replica.Replica
     routes: routing_table.RoutingTable
     leader: messages.LeaderRow | None
-    # Whether it was told to stop.
+    # Whether the process was told to stop.
     stopping: bool
-    # Counters for the metrics and the status page, by what happened.
+    # Counters for the metrics and the status page, by the name of the event.
     counts: collections.Counter[str]
     request_sampler: request_sampling.RequestSampler
-    # The parts (node.py says what each is for).
+    # The parts (described in node.py).
     runner: 'request_runner.RequestRunner'
     retry_budgets: 'retry_budget.RetryBudgets'
     at_most_once: 'at_most_once.AtMostOnce'
@@ -75,16 +75,16 @@
     shutdown: 'shutdown.Shutdown'
 
     def leased(self) -> bool:
-        """Whether this proxy may act on the state that it holds."""
+        """True if this proxy has a lease on its replica, and so may act on it."""
 
     def next_number(self) -> int:
-        """A number that this process has not used before."""
+        """Return a number that is unique within this process."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it if it is set already."""
+        """Set a timer, or reset it if it is already set."""
 
     def set_timer_by(self, name: str, at: datetime.timedelta) -> None:
-        """Have a timer fire at `at` at the latest."""
+        """Set a timer to fire at `at` at the latest."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message to another process."""
@@ -99,25 +99,25 @@
         """Have the leader carry out an operation; `callback` gets its result."""
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
-        """Log a sentence; `event` names the kind of event, `fields` are what one would search for."""
+        """Log a sentence; `event` names the kind of event, and `fields` are structured details to search for."""
 
     def other_proxies(self, allowed_regions: tuple[str, ...]) -> list[str]:
-        """HTTP addresses of proxies that a refused caller may try."""
+        """Return HTTP addresses of other proxies that a refused caller may try."""
 
 
 class ProxyPart:
-    """A part of a proxy: owns its own fields, and reaches the node and the other parts by `proxy`."""
+    """The base class of a part of a proxy; a part owns its fields and reaches the node and other parts by `proxy`."""
 
     def __init__(self, proxy: ProxyNode) -> None:
         self.proxy = proxy
 
 
 def endpoint_row(proxy: ProxyNode, incarnation: str) -> rows.EndpointRow:
-    """The row of an endpoint that the state in force names."""
+    """Return the row of an endpoint; the endpoint must exist in the current state."""
     row = proxy.routes.endpoint(incarnation)
     assert row is not None
     return row
 
 
-# A pass of a request: returns GO or WAIT (request.py), or raises a Refusal.
+# A pipeline stage: returns GO or WAIT (request.py), or raises a Refusal.
 Stage = typing.Callable[[ProxyNode, 'request_record.Request'], bool]
--- a/zinctrail/proxy/request_metrics.py
+++ b/zinctrail/proxy/request_metrics.py
@@ -1,4 +1,4 @@
-"""What is measured of requests: counters, times and, for some, a line in the log."""
+"""Metrics of requests: counters, latency histograms and, for a sample of them, a log line."""
 
 import bisect
 import collections
@@ -12,47 +12,49 @@
 import zinctrail.runtime.metrics as metrics
 
 Request = request_record.Request
-# Upper bounds in milliseconds; what is above the last has a row of its own.
+# Upper bounds of the histogram buckets in milliseconds; a further bucket counts what is above the last bound.
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000)
 MILLISECOND = durations.ms(1)
-# Causes are ours and few; the bound keeps a text that names a caller's word from filling memory.
+# The most causes that are counted separately. Causes are texts of this proxy and few; the bound protects memory in case
+# one contains text from a caller.
 MAX_CAUSES = 64
-# How much of a caller's id the log repeats, in characters.
+# The most characters of a request id that are logged.
 MAX_LOGGED_ID_LENGTH = 200
 
 
 class Histogram:
-    """How many took how long: `counts[i]` up to BUCKETS_MS[i], and `total_ms` in all."""
+    """A histogram of durations: `counts[i]` of them were up to BUCKETS_MS[i]; `total_ms` is their sum."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_MS) + 1)
         self.total_ms = 0.0
 
     def add(self, duration: datetime.timedelta) -> None:
-        """Count one."""
+        """Count a duration."""
         duration_ms = duration / MILLISECOND
         self.counts[bisect.bisect_left(BUCKETS_MS, duration_ms)] += 1
         self.total_ms += duration_ms
 
     def metric(self, name: str, text: str) -> metrics.Metric:
-        """The metric of these times."""
+        """Return the histogram as a metric with this name and help text."""
         bounds_s = [bound / 1000 for bound in BUCKETS_MS]
         return metrics.histogram(name, text, metrics.Histogram(self.counts, bounds_s, self.total_ms / 1000))
 
 
 class RequestMetrics(proxy_part.ProxyPart):
-    """Counts requests when they are answered, and gives the rows of the metrics page."""
+    """Counts requests when they end, logs a sample of them, and yields the metrics for the metrics page."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up without counts."""
+        """Start without counts."""
         super().__init__(proxy)
+        # {cause: how many requests were refused for it}.
         self.causes: collections.Counter[str] = collections.Counter()
-        # The time that requests spent in this proxy, and at endpoints.
+        # The times that requests spent in this proxy, and at endpoints.
         self.times_in_proxy = Histogram()
         self.times_at_endpoints = Histogram()
 
     def observe_end(self, request: Request, status: int, outcome: str, cause: str = '') -> None:
-        """A request is answered now; `cause` says why with a refusal of ours."""
+        """Record the end of a request; `cause` is the text of the refusal, '' for an endpoint's response."""
         proxy = self.proxy
         at_endpoints = request.time_at_endpoints
         if request.sent_at is not None:
@@ -83,7 +85,7 @@
             )
 
     def rows(self) -> typing.Iterator[metrics.Metric]:
-        """Rows of runtime/metrics.py."""
+        """Yield the metrics of requests (runtime/metrics.py)."""
         counts = self.proxy.counts
         outcomes = {o: counts[o] for o in (refusals.RAN, refusals.NOT_RUN, refusals.UNKNOWN, refusals.REPLAYED)}
         yield metrics.by_label(metrics.COUNTER, 'requests', 'Requests answered.', 'outcome', outcomes)
--- a/zinctrail/proxy/request_runner.py
+++ b/zinctrail/proxy/request_runner.py
@@ -1,4 +1,4 @@
-"""Runs requests through their passes: parking, resuming, refusing, deadlines."""
+"""Runs requests through the stages of their pipeline: parking, resumption, refusal, deadlines."""
 
 import typing
 
@@ -12,48 +12,48 @@
 
 Request = request_record.Request
 Waiting = request_record.Waiting
-# How long a request that is given up waits for its claim to be closed; a leader that is there answers in much less.
+# How long a refused request waits for its claim to be closed; a reachable leader responds in much less.
 CLOSE_WAIT = durations.ms(500)
 
 
 def unconfirmed_refusal(refusal: refusals.Refusal) -> refusals.Refusal:
-    """The refusal of a request whose claim could not be closed, so that a late copy of it may run."""
+    """Return the refusal of a request whose claim could not be closed, so that a delayed copy of it may still run."""
     return refusals.OutcomeUnknown(504, f'{refusal}; could not be made sure of')
 
 
 class RequestRunner(proxy_part.ProxyPart):
-    """The table of requests, and the passes that they go through."""
+    """Holds the pending requests, and runs the stages that they go through."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up without requests."""
+        """Start without requests."""
         super().__init__(proxy)
-        # Requests that are not answered yet: {call id: Request}.
+        # {call id: Request}: the pending requests, which have no response yet.
         self.requests: dict[typing.Any, Request] = {}
 
     def begin_client_request(self, call_id: typing.Any, call: effects.HttpRequest) -> None:
-        """A request of a client came."""
+        """Start the pipeline of a client's request."""
         self.begin(Request(call_id, call, self.proxy.now, pipeline.STAGES))
 
     def begin_open_request(self, call_id: typing.Any, call: effects.HttpRequest) -> None:
-        """A request of open traffic came."""
+        """Start the pipeline of a request of open traffic."""
         self.begin(Request(call_id, call, self.proxy.now, open_pipeline.STAGES, is_open_traffic=True))
 
     def is_pending(self, request: Request) -> bool:
-        """Whether a request is not answered yet."""
+        """True if a request has no response yet, and its caller has not disconnected."""
         return request.call_id in self.requests
 
     def remove(self, request: Request) -> None:
-        """Forget a request that is answered, or whose caller went away."""
+        """Remove a request that has its response, or whose caller disconnected."""
         del self.requests[request.call_id]
 
     def begin(self, request: Request) -> None:
-        """Take a request on and run its passes."""
+        """Add a request and run its stages."""
         self.requests[request.call_id] = request
         self.proxy.counts['requests'] += 1
         self.run_stages(request)
 
     def run_stages(self, request: Request) -> None:
-        """Run passes from the request's position on, until one parks or refuses it or none is left."""
+        """Run the stages from the request's position on, until one parks or refuses the request, or all have run."""
         request.waiting_for = Waiting.NOTHING
         while request.position < len(request.stages):
             try:
@@ -65,14 +65,14 @@
             request.position += 1
 
     def resume(self, request: Request, at: typing.Callable | None = None) -> None:
-        """Go on with the next pass, or with the named one."""
+        """Continue with the stage `at`, by default the next one."""
         request.position = request.stages.index(at) if at else request.position + 1
         self.run_stages(request)
 
     # -- refusing ---------------------------------------------------------
 
     def refuse(self, request: Request, refusal: refusals.Refusal) -> None:
-        """Give a request up. What is claimed and did not run is answered once its claim is closed."""
+        """Refuse a request. If it is claimed and did not run, the response waits until its claim is closed."""
         if not self.is_pending(request):
             return
         if request.may_have_run and refusal.outcome == refusals.NOT_RUN:
@@ -83,9 +83,13 @@
         self.respond_refusal(request, refusal)
 
     def close_claim(self, request: Request, refusal: refusals.Refusal) -> None:
-        """Have the leader commit that the id does not run: "not run" must hold against a late copy at any proxy."""
+        """Have the leader commit that the id does not run.
+
+        After the outcome "not run", no delayed copy of the request may run through any proxy.
+        """
         request.waiting_for, request.refusal = Waiting.CLAIM_CLOSED, refusal
-        # It is given up, so its caller is answered soon; "unknown" is a true answer where no leader answers.
+        # The request is refused, so its caller gets a response soon; if no leader responds, the outcome is "unknown",
+        # which is true.
         request.deadline = min(request.deadline, self.proxy.now + CLOSE_WAIT)
         self.proxy.set_timer_by('deadlines', request.deadline)
         self.proxy.request_operation(
@@ -95,18 +99,19 @@
         )
 
     def handle_close_result(self, request: Request, refusal: refusals.Refusal, result: dict) -> None:
-        """The leader's answer to `close`."""
+        """Handle the leader's result of the operation `close`."""
         is_closed = result['status'] == 200
         if self.is_pending(request):
             self.respond_refusal(request, refusal if is_closed else unconfirmed_refusal(refusal))
             return
         stored = self.proxy.at_most_once.stored_results.get(request.id)
         if is_closed and stored is not None and stored.claim_nonce == request.claim_nonce:
-            # It was answered "unknown" for want of a leader, but it never ran, and the next attempt may.
-            self.proxy.at_most_once.forget_result(request.id)
+            # Its caller got the outcome "unknown" because no leader responded in time. But the request never ran, so
+            # the next attempt may run.
+            self.proxy.at_most_once.discard_result(request.id)
 
     def respond_refusal(self, request: Request, refusal: refusals.Refusal) -> None:
-        """Answer a request that is given up."""
+        """Send the response of a refused request."""
         if request.is_open_traffic:
             self.proxy.open_responses.respond_refusal(request, refusal)
         else:
@@ -115,13 +120,13 @@
     # -- deadlines --------------------------------------------------------
 
     def expire_requests(self) -> None:
-        """Answer what has reached its deadline."""
+        """Respond to the requests whose deadline has passed, and set the timer for the next deadline."""
         for request in [r for r in self.requests.values() if r.deadline and r.deadline <= self.proxy.now]:
             if request.is_open_traffic:
                 self.proxy.open_responses.handle_deadline(request)
             else:
                 self.handle_deadline(request)
-        # An owner that never answers must not leave its query behind.
+        # Queries to claim owners that never responded are removed with their requests.
         self.proxy.at_most_once.result_queries = {
             k: r for k, r in self.proxy.at_most_once.result_queries.items() if r.call_id in self.requests
         }
@@ -130,7 +135,10 @@
             self.proxy.set_timer_by('deadlines', min(times))
 
     def handle_deadline(self, request: Request) -> None:
-        """Give up a client's request by what it waits for; a claim's answer has a timer of its own."""
+        """Refuse a client's request whose deadline has passed, by what it waits for.
+
+        A request that waits for its claim is left: the operation `claim` has its own timeout.
+        """
         waiting_for = request.waiting_for
         if waiting_for is Waiting.CREDIT:
             self.refuse(request, refusals.DeadlineExceeded())
--- a/zinctrail/proxy/status_pages.py
+++ b/zinctrail/proxy/status_pages.py
@@ -7,38 +7,38 @@
 
 
 class ServingProxy(recovery.ExportingMember, typing.Protocol):
-    """What the pages need of the proxy."""
+    """The interface of the proxy for its pages."""
 
     def ready(self) -> tuple[bool, str]:
-        """Whether traffic may be sent here, else why not."""
+        """Return (whether traffic may be sent to this proxy, the reason if not)."""
 
     def status(self) -> dict[str, typing.Any]:
-        """The JSON of /v1/self."""
+        """Return the JSON of /v1/self."""
 
 
 def page_ready(proxy: ServingProxy) -> replies.Result:
-    """Whether traffic may be sent here: 200 or 503, with the reason."""
+    """Return the readiness of the proxy: 200, or 503 with the reason."""
     is_ready, reason = proxy.ready()
     return {'status': 200 if is_ready else 503, 'ready': is_ready, 'why': reason}
 
 
 def page_live(proxy: ServingProxy) -> replies.Result:
-    """Whether the process runs at all."""
+    """Return 200 to show that the process is running."""
     return {'status': 200}
 
 
 def page_copy(proxy: ServingProxy) -> replies.Result:
-    """The replicated state as this proxy holds it."""
+    """Return this proxy's replica of the state."""
     return recovery.export_replica(proxy)
 
 
 def page_copy_brief(proxy: ServingProxy) -> replies.Result:
-    """What an operator compares of copies, without the state itself."""
+    """Return the metadata by which an operator compares replicas, without the tables."""
     return recovery.export_replica(proxy, with_tables=False)
 
 
 def page_self(proxy: ServingProxy) -> replies.Result:
-    """This process's status."""
+    """Return the status of this process."""
     return {'status': 200, 'state': proxy.status()}
 
 
--- a/zinctrail/proxy/upstream.py
+++ b/zinctrail/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""Clients' requests on their way to endpoints, and what comes back."""
+"""Clients' requests between this proxy and endpoints: sends, results, credit in use and retries."""
 
 import datetime
 import typing
@@ -14,22 +14,22 @@
 import zinctrail.runtime.effects as effects
 
 Request = request_record.Request
-# Headers of the caller that the endpoint gets.
+# The caller's headers that are passed on to the endpoint.
 PASSED_HEADERS = ('content-type', 'accept', 'zt-labels', 'zt-home')
-# How long an endpoint that could not be reached is left out.
+# How long an endpoint that could not be reached is not chosen.
 UNREACHABLE_BACKOFF = durations.ms(3000)
-# How long a slot stays reserved after its response was lost: a multiple of the usual time, but not less than this.
+# How long a slot stays reserved after its response was lost: a multiple of the pool's latency, and its lower bound.
 RESERVED_LATENCY_FACTOR = 4
 MIN_RESERVED_MS = 100
-# The weight of one more response in the usual time of a pool is 1 / SMOOTHING.
+# The weight of a new response in the smoothed latency of a pool is 1 / SMOOTHING.
 SMOOTHING = 8
 MAX_REPORTED_LOAD = 1000.0
-# How many sends the free retry after an unreachable endpoint may follow.
+# The most sends after which a retry is free because the endpoint could not be reached.
 FREE_RETRY_SENDS = 2
 
 
 class Fetch(typing.NamedTuple):
-    """A request at an endpoint."""
+    """A request in flight at an endpoint."""
 
     request: Request
     pool: str
@@ -38,7 +38,7 @@
 
 
 class ReservedSlot(typing.NamedTuple):
-    """Credit that counts as in use, because the work behind a lost response may go on."""
+    """Credit that still counts as in use, because the endpoint may still work on a request whose response was lost."""
 
     until: datetime.timedelta
     pool: str
@@ -46,17 +46,17 @@
 
 
 class Upstream(proxy_part.ProxyPart):
-    """Sends clients' requests, takes their results, retries, frees credit."""
+    """Sends clients' requests to endpoints, handles the results, retries, and frees credit."""
 
     def __init__(self, proxy: proxy_part.ProxyNode) -> None:
-        """Set up with nothing in flight."""
+        """Start with no requests in flight."""
         super().__init__(proxy)
-        # {fetch id: the request at an endpoint}.
+        # {fetch id: the fetch in flight}.
         self.fetches: dict[int, Fetch] = {}
         self.reserved_slots: list[ReservedSlot] = []
-        # The endpoints of the last version, to see which are gone.
+        # The endpoints of the last version of the state, to detect which were removed.
         self.incarnations: set[str] = set()
-        # {incarnation: until when it is left out}, and the load that endpoints report in `zt-pressure`.
+        # {incarnation: until when it is not chosen}, and {incarnation: the load that it reports in `zt-pressure`}.
         self.unreachable_until: dict[str, datetime.timedelta] = {}
         self.reported_load: dict[str, float] = {}
 
@@ -71,7 +71,7 @@
         remaining = request.deadline - self.proxy.now
         self.proxy.counts['sends'] += 1
         request.sent_at = self.proxy.now
-        # The fetch may last longer than the caller waits: until the endpoint is done, its work counts as credit in use.
+        # The fetch outlasts the request's deadline, because the credit is in use until the endpoint has finished.
         self.proxy.out.append(
             effects.HttpFetch(
                 request.fetch_id,
@@ -86,7 +86,7 @@
         )
 
     def upstream_headers(self, request: Request, remaining: datetime.timedelta) -> dict[str, str]:
-        """The headers that the endpoint gets."""
+        """Return the headers of the request to the endpoint."""
         headers = {
             'zt-id': request.id,
             'zt-attempt': str(request.attempt),
@@ -100,7 +100,7 @@
         return headers
 
     def handle_fetch_result(self, fetch_id: int, result: effects.HttpResult) -> None:
-        """A fetch ended."""
+        """Handle the end of a fetch: free its credit, and resume the request or store a late result."""
         fetch = self.fetches.pop(fetch_id)
         request = fetch.request
         is_current = request.fetch_id == fetch_id
@@ -117,17 +117,17 @@
         self.proxy.credit.retry_queued(fetch.pool)
 
     def cancel(self, request: Request) -> None:
-        """Give up what a request still has at an endpoint; nobody waits for it."""
+        """Cancel the fetch of a request that is still in flight, since no caller waits for it."""
         fetch = self.fetches.pop(request.fetch_id, None)
         if fetch is None:
             return
         self.proxy.out.append(effects.CancelFetch(request.fetch_id))
-        # As if its response were lost: the endpoint may work on for a while.
+        # Handled like a lost response, because the endpoint may still work on it for a while.
         self.free_slot(fetch, effects.HttpResult(fault='cancelled'))
         self.proxy.credit.retry_queued(fetch.pool)
 
     def free_slot(self, fetch: Fetch, result: effects.HttpResult) -> None:
-        """Give the credit back; later where the response was lost, because that does not end the work behind it."""
+        """Free the credit of a fetch; if its response was lost, only later, since the endpoint may still work on it."""
         pool = self.proxy.credit.pool_credit(fetch.pool)
         if not (result.fault and result.sent and self.proxy.routes.endpoint(fetch.incarnation)):
             self.release_slot(pool, fetch.incarnation)
@@ -138,10 +138,10 @@
         self.proxy.set_timer_by('reserved_slots', until)
 
     def observe_result(self, fetch: Fetch, result: effects.HttpResult) -> None:
-        """Learn the usual time of the pool and the load that the endpoint reports."""
+        """Update the smoothed latency of the pool, and the load that the endpoint reports."""
         pool = self.proxy.credit.pool_credit(fetch.pool)
         if not result.fault:
-            # Smoothed: one slow response must not close a pool, a run of them should.
+            # Smoothed, because requests to a pool should be refused after a run of slow responses, but not after one.
             latency_ms = durations.to_ms(self.proxy.now - fetch.sent_at)
             pool.latency_ms += (latency_ms - pool.latency_ms) / SMOOTHING if pool.latency_ms else latency_ms
         if 'zt-pressure' in result.headers:
@@ -152,14 +152,14 @@
                 self.proxy.counts['garbled'] += 1
 
     def release_slot(self, pool: credit.PoolCredit, incarnation: str) -> None:
-        """One request less is at an endpoint."""
+        """Count one request less in flight at an endpoint."""
         pool.in_use[incarnation] -= 1
         if not pool.in_use[incarnation]:
-            # Incarnations come and go, and each would leave a row behind.
+            # Otherwise every removed incarnation would leave an entry behind.
             del pool.in_use[incarnation]
 
     def release_reserved_slots(self) -> None:
-        """Release slots whose work has surely ended by now."""
+        """Release the reserved slots whose time is over."""
         expired = [slot for slot in self.reserved_slots if slot.until <= self.proxy.now]
         self.reserved_slots = [slot for slot in self.reserved_slots if slot.until > self.proxy.now]
         for slot in expired:
@@ -169,18 +169,18 @@
         if self.reserved_slots:
             self.proxy.set_timer_by('reserved_slots', min(slot.until for slot in self.reserved_slots))
 
-    def forget_removed_endpoints(self) -> None:
-        """A version of the state came into force: forget the endpoints that are gone, or reachable again."""
+    def discard_removed_endpoints(self) -> None:
+        """Discard the records of endpoints that a new version of the state removed, and backoffs that are over."""
         incarnations = set(self.proxy.replica.get('endpoints'))
         for incarnation in sorted(self.incarnations - incarnations):
-            # Whoever has its address next must not get what was meant for it.
+            # The next endpoint at its address must not get requests that were meant for it.
             self.proxy.out.append(effects.CloseConnections(incarnation))
             self.reported_load.pop(incarnation, None)
         self.unreachable_until = {i: at for i, at in self.unreachable_until.items() if at > self.proxy.now}
         self.incarnations = incarnations
 
     def store_late_result(self, request: Request, result: effects.HttpResult) -> None:
-        """A response that came after its caller was answered "unknown": the next attempt gets it."""
+        """Store a response that came after its caller got the outcome "unknown", so that the next attempt gets it."""
         stored = self.proxy.at_most_once.stored_results.get(request.id) if request.claim_nonce else None
         if stored is None or stored.is_running or not stored.response:
             return
@@ -192,23 +192,23 @@
             )
 
     def mark_unreachable(self, incarnation: str) -> None:
-        """Leave an endpoint out for a while, and have the leader look at it."""
+        """Avoid an endpoint for a while, and report it to the leader as unreachable."""
         self.unreachable_until[incarnation] = self.proxy.now + UNREACHABLE_BACKOFF
         self.report_unreachable(incarnation)
 
     def report_unreachable(self, incarnation: str) -> None:
-        """Tell the leader that an endpoint could not be reached."""
+        """Report to the leader that an endpoint could not be reached."""
         if self.proxy.leader:
             self.proxy.send_message(
                 self.proxy.leader['addr'], traffic_messages.EndpointSuspected(incarnation=incarnation)
             )
 
     def retry(self, request: Request, refusal: refusals.Refusal) -> bool:
-        """Send it again where rule and time allow; else refuse it."""
+        """Send the request again if rule and deadline allow it; otherwise raise `refusal`."""
         request.tried.add(request.incarnation)
         repeat = request.client_rule.get('repeat')
         attempts = repeat.get('attempts', 1) if repeat else 1
-        # One retry is free: an endpoint that could not be reached ran nothing, so that nothing is sent twice.
+        # One retry after an unreachable endpoint is free: that endpoint ran nothing, so nothing is sent twice.
         is_free = not request.result.sent and request.send_count <= FREE_RETRY_SENDS
         may_retry = (
             (is_free or request.send_count < attempts)
