--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -87,7 +87,7 @@
 
 
 def counting_early():
-    """The passes with firsts and repeats counted before they wait for credit."""
+    """Stages that count first attempts and retries before they wait for credit."""
     original = pipeline.check_retry_budget
 
     def early(proxy, request):
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -56,7 +56,7 @@
 
 
 def swap(old, new):
-    """Replace one pass of the pipeline."""
+    """Replace one stage of the pipeline."""
     return off(open_pipeline, 'STAGES', [new if p is old else p for p in open_pipeline.STAGES])
 
 
@@ -163,8 +163,8 @@
     'whose answer it is': lambda: off(open_responses, 'response_error', only_faults),
     'whole answers': lambda: off(open_responses, 'response_error', no_faults),
     'the id as it came': lambda: off(open_upstream.OpenUpstream, 'send', altered),
-    # Resting as well, because an endpoint that refuses connections is left alone for longer than an address takes to be
-    # reused.
+    # Backing off as well, because an endpoint that refuses connections is avoided for longer than an address takes to
+    # be reused.
     'naming the incarnation': lambda: (
         off(open_upstream.OpenUpstream, 'send', unnamed)
         + off(open_upstream.OpenUpstream, 'back_off_endpoint', lambda self, incarnation: None)
--- a/zinctrail/client/coordination.py
+++ b/zinctrail/client/coordination.py
@@ -211,8 +211,7 @@
                 self.expires_at = None
                 return False
             raise
-        # The lease counts from when the call was sent. The control plane counts from later, so the lock expires here
-        # first.
+        # The lease starts here when the call was sent, and at the control plane later, so that it expires here first.
         self.expires_at = sent_at + self.lease
         self.fencing_token, self.acquisition = document['fence'], document['take']
         return self.is_held()
--- a/zinctrail/client/request_client.py
+++ b/zinctrail/client/request_client.py
@@ -138,7 +138,7 @@
 
     def _remember(self, result: LookupResponse, requested_at: datetime.timedelta) -> None:
         self.lookup_result = result
-        # The validity counts from when the lookup was sent. The directory counts from later, so it ends here first.
+        # The validity starts here when the lookup was sent, and at the directory later, so that it ends here first.
         self.valid_until = requested_at + durations.ms(result['ttl_ms'])
         for directory in result['dirs']:
             if directory not in self.directories:
--- a/zinctrail/proxy/at_most_once.py
+++ b/zinctrail/proxy/at_most_once.py
@@ -189,7 +189,7 @@
     # -- results between proxies ------------------------------------------
 
     def handle_result_request(self, message: traffic_messages.ResultRequest) -> None:
-        """Handle another proxy's query for the result of a request id; respond once the attempt in progress ends."""
+        """Handle another proxy's query for a result; respond at once, or when the attempt in progress ends."""
         stored = self.stored_results.get(message.request_id)
         query = ResultQuery(codec.sender_of(message).address, message.key)
         if stored is not None and stored.is_running:
--- a/zinctrail/proxy/credit.py
+++ b/zinctrail/proxy/credit.py
@@ -277,7 +277,7 @@
         for number in [n for n in pool.requested if n <= message.number]:
             del pool.requested[number]
         pool.grants, pool.grant_number = message.grants, message.sequence
-        # The lease counts from when the request was sent. The ledger counts from later, so the lease ends here first.
+        # The lease starts here when the request was sent, and at the ledger later, so that it ends here first.
         pool.lease_until = requested_at + self.proxy.settings.credit
         self.retry_queued(message.pool)
 
--- a/zinctrail/proxy/open_responses.py
+++ b/zinctrail/proxy/open_responses.py
@@ -97,7 +97,7 @@
         self.proxy.out.append(effects.HttpResponse(request.call_id, status, headers, body))
 
     def handle_deadline(self, request: Request) -> None:
-        """Refuse a request whose deadline has passed, with the outcome that follows from where it is."""
+        """Refuse a request whose deadline has passed; the outcome is "unknown" if it may have run."""
         if request.waiting_for is request_record.Waiting.ROOM and not request.may_have_run:
             self.proxy.runner.refuse(request, refusals.DeadlineExceeded())
         elif request.in_flight:
--- a/zinctrail/proxy/slow_start.py
+++ b/zinctrail/proxy/slow_start.py
@@ -61,8 +61,8 @@
         if len(members) <= senders:
             return WarmUpShare(True, interval)
         region = routes.region_of(row['cell'])
-        # Proxies of the endpoint's region come first, because they have the most traffic for it. The order within is by
-        # a hash of the address, so that a proxy that restarts keeps its rank.
+        # Proxies of the endpoint's region come first, because they have the most traffic for it. The further order is
+        # by a hash with the proxy's address, so that a proxy that restarts keeps its rank.
         ranked = sorted(
             (
                 routes.region_of(member['cell']) != region,
