--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -87,7 +87,7 @@
 
 
 def counting_early():
-    """The passes with firsts and repeats counted before they wait for credit."""
+    """Stages that count first attempts and retries before they wait for credit."""
     original = pipeline.check_retry_budget
 
     def early(proxy, request):
@@ -99,8 +99,8 @@
         request.is_charged = True
         return True
 
-    passes = [early if check is original else check for check in pipeline.PASSES]
-    return replaced(pipeline, 'PASSES', passes) + replaced(pipeline, 'check_retry_budget', early)
+    stages = [early if check is original else check for check in pipeline.STAGES]
+    return replaced(pipeline, 'STAGES', stages) + replaced(pipeline, 'check_retry_budget', early)
 
 
 def half_applied(transaction, document, base, original=configuration.apply):
