--- a/features/steps/edge_disk_steps.py
+++ b/features/steps/edge_disk_steps.py
@@ -126,7 +126,7 @@
     context.host = host_of(context.machine, context.disk)
     context.logged = []
     noting_log = {effects.Log: lambda log_host, effect: context.logged.append(effect.text)}
-    with FAILURES[failure_name](), mock.patch.dict(host.RUNS, noting_log):
+    with FAILURES[failure_name](), mock.patch.dict(host.EFFECT_HANDLERS, noting_log):
         context.host.feed('do', [effects.Write('term', term_file(2, 'x')), effects.Log('voted')])
 
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -102,7 +102,7 @@
 
 @behave.then('it tells that it goes on with those it has, and runs on')
 def old_settings_are_kept(context):
-    line_with(context, 'goes on with those it has')
+    line_with(context, 'new settings are invalid, keeping the current settings')
     assert context.process.poll() is None
 
 
--- a/features/steps/snapshots_large_state_steps.py
+++ b/features/steps/snapshots_large_state_steps.py
@@ -103,13 +103,13 @@
 @behave.when('it writes a checkpoint in parts while {count:d} changes go on')
 def snapshot_is_written_in_parts(context, count: int):
     context.part_sizes = []
-    write_part = context.disk.write_part
+    write_chunk = context.disk.write_chunk
 
     def noting_write_part(name, text, first):
         context.part_sizes.append(len(text))
-        write_part(name, text, first)
+        write_chunk(name, text, first)
 
-    context.disk.write_part = noting_write_part
+    context.disk.write_chunk = noting_write_part
     for number in range(FIRST_NUMBER + 1, FIRST_NUMBER + 1 + count):
         run_step(context, voter_history.accept_rows(1, number))
         if number == SNAPSHOT_NUMBER:
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -47,7 +47,7 @@
     def connect(self):
         """Bring both ends up; the level of the other side is known where it has told it."""
         if self.level is not None:
-            self.here.note_level(ADDRESS, self.level)
+            self.here.record_wire_level(ADDRESS, self.level)
         self.transport, self.end, self.end_transport = Wire(), peer_connections.InboundConnection(self.there), Wire()
         self.end.makeConnection(self.end_transport)
         self.outgoing.buildProtocol(None).makeConnection(self.transport)
@@ -152,7 +152,7 @@
         too_long = b'{"t": "' + b'x' * (FRAME_LIMIT_BYTES + 10) + b'"}'
         body = compressor.compress(too_long) + compressor.flush(zlib.Z_SYNC_FLUSH)
     elif 'over' in what:
-        body = compressor.compress(b'{"t": "leave"}') + compressor.flush(zlib.Z_FINISH) + peer_connections.FLUSHED
+        body = compressor.compress(b'{"t": "leave"}') + compressor.flush(zlib.Z_FINISH) + peer_connections.FLUSH_TRAILER
     else:
         frame = b'{"t": "leave", "f": "b", "a": "10.0.0.1:1000"}'
         body = compressor.compress(frame) + compressor.flush(zlib.Z_SYNC_FLUSH)
--- a/features/support/folder_model.py
+++ b/features/support/folder_model.py
@@ -176,8 +176,8 @@
     """transport.disk over a modelled folder; until `restore_os` every Disk works on that model."""
     modelled = disk.Disk.__new__(disk.Disk)
     modelled.folder, modelled.reusable = FOLDER, disk.collections.deque()
-    modelled.multiply_linked, modelled.still_read = set(), set()
-    modelled.part_name = modelled.part_fd = None
+    modelled.multiply_linked, modelled.possibly_open = set(), set()
+    modelled.chunked_name = modelled.chunked_fd = None
     disk.os, disk.open = model, model.open_text
     return modelled
 
--- a/features/support/open_traffic_front.py
+++ b/features/support/open_traffic_front.py
@@ -49,7 +49,7 @@
 
     def limit(self, limits: effects.Limits) -> None:
         """Give the server the operator's limits."""
-        reactor_thread.call(lambda: self.server.limit(limits))
+        reactor_thread.call(lambda: self.server.apply_limits(limits))
 
     def drain(self, shut: bool) -> None:
         """Let the server leave; once shut, it takes no connections."""
--- a/zinctrail/transport/__init__.py
+++ b/zinctrail/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts and clients on Twisted: framing, HTTP, disk, clock."""
+"""Input and output of the processes, on Twisted: frames between processes, HTTP, disk, clock, event loop."""
--- a/zinctrail/transport/blocking_client.py
+++ b/zinctrail/transport/blocking_client.py
@@ -4,7 +4,7 @@
 import json
 import typing
 
-# What a call may raise: the connection failed, or the response is not HTTP or not JSON.
+# The exceptions that `call` may raise: the connection failed, or the response is not HTTP or not JSON.
 ERRORS = (OSError, http.client.HTTPException, ValueError)
 TIMEOUT_S = 3
 
--- a/zinctrail/transport/dialect.py
+++ b/zinctrail/transport/dialect.py
@@ -1,8 +1,8 @@
-"""Dialects: how names and formats of other parties are translated to and from ours.
+"""Dialects: translation between the header names and formats of another platform and our own.
 
-A dialect sits between the sockets and the state machines; it makes no
-decisions. Our own is `NativeDialect`, which changes nothing. Another one is
-handed to `transport.program.serve` by whoever starts the program.
+A dialect sits between the sockets and the state machines and makes no
+decisions. The default is `NativeDialect`, which changes nothing. The caller of
+`transport.program.serve` may pass another one.
 """
 
 import typing
@@ -13,33 +13,36 @@
 
 
 class IDialect(zope.interface.Interface):
-    """Translation of open traffic, of calls to plain endpoints, and of the API."""
+    """Translates open traffic, requests to plain endpoints (those without our library), and API calls."""
 
     def request_in(request):
-        """A request of open traffic as received -> effects.HttpRequest with our header names."""
+        """Translate a received request of open traffic into an effects.HttpRequest with our header names."""
 
     def response_out(headers):
-        """Our headers of a response to open traffic -> the headers that are sent."""
+        """Translate our headers of a response to open traffic into the headers that are sent."""
 
     def endpoint_request_out(headers):
-        """Our headers of a request to a plain endpoint -> the headers that are sent."""
+        """Translate our headers of a request to a plain endpoint into the headers that are sent."""
 
     def endpoint_response_in(headers):
-        """The headers of a plain endpoint's response -> ours."""
+        """Translate the headers of a plain endpoint's response into ours."""
 
     def health_response_in(headers):
-        """The headers of a plain endpoint's response to a health check -> ours."""
+        """Translate the headers of a plain endpoint's response to a health check into ours."""
 
     def api_request_in(request):
-        """A call of the API -> (effects.HttpRequest to one of our paths, context), or an effects.HttpResponse."""
+        """Translate an API call into (effects.HttpRequest to one of our paths, context), or into its response.
+
+        The response is an effects.HttpResponse; it is sent without the call reaching our API.
+        """
 
     def api_response_out(context, response):
-        """Our response to a call that `api_request_in` translated -> the effects.HttpResponse that is sent."""
+        """Translate our response to a call from `api_request_in` into the effects.HttpResponse that is sent."""
 
 
 @zope.interface.implementer(IDialect)
 class NativeDialect:
-    """The dialect of our own names and formats."""
+    """The default dialect: our own names and formats, untranslated."""
 
     def request_in(self, request: effects.HttpRequest) -> effects.HttpRequest:
         """Return the request unchanged."""
--- a/zinctrail/transport/endpoint_client.py
+++ b/zinctrail/transport/endpoint_client.py
@@ -1,8 +1,8 @@
-"""Calls to endpoints that link no library of ours: strict about responses, sparing with connections.
+"""HTTP client for plain endpoints (those without our library), with strict checks of responses and connection reuse.
 
 Built on twisted.web's own client protocol. A connection that carried anything
 but exactly one complete response to each request is closed and never reused,
-and for a while the other connections of its endpoint are not reused either.
+and for `DISTRUST_S` the other connections to its endpoint are not reused either.
 """
 
 import datetime
@@ -25,25 +25,26 @@
 import zinctrail.transport.twisted_types as twisted_types
 
 MAX_RESPONSE_BYTES = 64 << 20
-# Short, because nothing was sent yet, and another endpoint can take the request while there is time.
+# Short, because nothing has been sent yet: another endpoint can still take the request before its deadline.
 CONNECT_TIMEOUT_S = 0.3
 MIN_CONNECT_TIMEOUT_S = 0.01
 MIN_TIMEOUT_S = 0.001
-# How long a connection may lie idle whose endpoint announces no time, and the same for a request that may run at
-# most once: that one must not meet a connection that the endpoint is just closing, and a server that closes idle
-# connections in less than a second announces no time.
+# The maximum idle time of a reused connection if its endpoint announces no keep-alive timeout. It is shorter for a
+# request that may run at most once: such a request must not be sent while the endpoint closes the connection, and a
+# server that closes idle connections in less than a second announces no timeout.
 IDLE_S = 3.0
 AT_MOST_ONCE_IDLE_S = 0.25
-# How much earlier than the announced time a connection is given up.
+# How much earlier than the announced keep-alive timeout a connection is closed.
 IDLE_MARGIN_S = 0.7
-# How long an endpoint may acknowledge nothing. A silent one must not delay what could be sent elsewhere.
-SILENT_MS = 1500
-# For how long each connection of an endpoint that broke the protocol carries one request only.
+# How long an endpoint may leave sent bytes unacknowledged. An unresponsive one must not delay requests that another
+# endpoint could serve.
+DEAD_PEER_TIMEOUT_MS = 1500
+# For how long each connection to an endpoint that violated HTTP carries only one request.
 DISTRUST_S = 5.0
-# How many responses to other requests are skipped while waiting for the response to ours.
+# How many responses to earlier requests are skipped while waiting for the response to the current one.
 MAX_SKIPPED_RESPONSES = 2
 
-# Whether a response with these headers belongs to the request that was sent.
+# Returns True if a response with these headers belongs to the request that was sent.
 IsOwnResponse = typing.Callable[[dict[str, str]], bool]
 
 
@@ -56,50 +57,52 @@
         self.length = len(body)
 
     def startProducing(self, consumer: typing.Any) -> defer.Deferred[None]:
-        """Write the whole body at once."""
+        """Write the complete body at once."""
         consumer.write(self.body)
         return defer.succeed(None)
 
     def stopProducing(self) -> None:
-        """Nothing is under way that could be stopped or paused."""
+        """Do nothing: the body has already been written."""
 
     pauseProducing = resumeProducing = stopProducing
 
 
 class EndpointConnection(newclient.HTTP11ClientProtocol):
-    """A connection to an endpoint, which judges whether it may be used again."""
+    """A connection to a plain endpoint, which tracks whether it may be reused."""
 
-    # Twisted declares a type without the methods of TCP.
+    # The type that Twisted declares lacks the methods of TCP.
     transport: typing.Any
     incarnation = ''
-    # Set before it connects.
+    # Set before the connection is opened.
     owner: 'EndpointClient'
     idle_since = 0.0
-    # Seconds that it may lie idle, as announced by the endpoint; None if nothing was announced.
+    # The keep-alive timeout that the endpoint announced, in seconds; None if it announced none.
     keep_alive_s: float | None = None
-    is_spoiled = False
-    # Whether a response with these headers belongs to the current request; set with each request.
+    # True if the connection must not carry another request.
+    is_unusable = False
+    # Returns True if a response with these headers belongs to the current request; set with each request.
     is_own_response: typing.Callable[[typing.Any], bool]
-    # Fires with the response after one that belonged to another request.
+    # Fires with the response that follows a skipped one.
     next_response: defer.Deferred | None = None
+    # Bytes received after a skipped response.
     unparsed = b''
     skipped_responses = 0
 
     def connectionMade(self) -> None:
-        """Set the socket's options."""
+        """Set the socket options."""
         super().connectionMade()
-        peer_connections.limit_silence(self.transport, SILENT_MS)
+        peer_connections.set_dead_peer_timeout(self.transport, DEAD_PEER_TIMEOUT_MS)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Leave the idle connections."""
+        """Remove the connection from the idle connections."""
         super().connectionLost(reason)
         self.owner.closed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse a response; bytes that arrive between requests belong to none, so they spoil the connection."""
+        """Parse a response; bytes that arrive between requests belong to no request and make the connection unusable."""
         if self._state == 'QUIESCENT':
             self.distrust_endpoint()
-            self.spoil()
+            self.discard()
             return
         data, self.unparsed = self.unparsed + data, b''
         if data:
@@ -117,7 +120,7 @@
                 return
         if rest:
             self.distrust_endpoint()
-            self.is_spoiled = True
+            self.is_unusable = True
         closes = any(b'close' in value.lower() for value in headers.getRawHeaders(b'connection', ()))
         self.keep_alive_s = 0.0 if closes else announced_timeout(headers.getRawHeaders(b'keep-alive', ()))
         super()._finishResponse_WAITING(rest)
@@ -125,10 +128,10 @@
     _finishResponse_TRANSMITTING = _finishResponse_WAITING
 
     def skip_response(self, rest: bytes) -> None:
-        """Pass over the response to an earlier request, and wait for the response to ours.
+        """Skip the response to an earlier request, and wait for the response to the current one.
 
-        The request is not given up: one that may run at most once can't be
-        sent again, and each response tells which request it belongs to.
+        The current request is not failed: one that may run at most once can't
+        be retried, and each response names the request that it belongs to.
         """
         self.skipped_responses += 1
         assert self._parser is not None and self._transportProxy is not None
@@ -140,25 +143,25 @@
         self.next_response = self._responseDeferred = self._parser._responseDeferred
         self.transport.resumeProducing()
         skipped.connectionLost(failure.Failure(network_error.ConnectionDone()))
-        # In a later turn of the loop, when the skipped response has been dealt with.
+        # Deferred to a later iteration of the event loop, after the skipped response has been handled.
         self.owner.reactor.callLater(0, self.parse_rest)
 
     def parse_rest(self) -> None:
-        """Parse the bytes that came behind a skipped response."""
+        """Parse the bytes that were received after a skipped response."""
         if self._state == 'WAITING':
             self.dataReceived(b'')
 
     def distrust_endpoint(self) -> None:
-        """Its endpoint has broken the protocol."""
+        """Record that the connection's endpoint violated HTTP."""
         self.owner.distrust(self.incarnation)
 
-    def spoil(self) -> None:
-        """Abort the connection."""
-        self.is_spoiled = True
+    def discard(self) -> None:
+        """Mark the connection as unusable and abort it."""
+        self.is_unusable = True
         self.transport.abortConnection()
 
-    def is_untouched(self) -> bool:
-        """Whether nothing has arrived since it was last used, not even its end."""
+    def has_no_pending_input(self) -> bool:
+        """True if the socket has neither unread bytes nor an end of stream since the connection was last used."""
         try:
             self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -169,7 +172,7 @@
 
 
 def announced_timeout(values: typing.Iterable[bytes]) -> float | None:
-    """The seconds that the values of keep-alive headers announce, or None."""
+    """Return the timeout in seconds that the values of keep-alive headers announce, or None."""
     for value in values:
         for field in value.split(b','):
             name, _, seconds = field.strip().partition(b'=')
@@ -179,24 +182,24 @@
 
 
 class EndpointClient:
-    """Requests to plain endpoints, and the idle connections to them by incarnation."""
+    """Sends requests to plain endpoints, and pools the idle connections by incarnation."""
 
     def __init__(self, reactor: twisted_types.Reactor) -> None:
         self.reactor = reactor
-        # {incarnation: its idle connections}, the one used last at the end.
+        # {incarnation: its idle connections}, the most recently used one last.
         self.idle: dict[str, list[EndpointConnection]] = {}
-        # Incarnations that broke the protocol, and until when none of their connections is used twice.
+        # {incarnation that violated HTTP: until when its connections are not reused}.
         self.distrusted_until: dict[str, float] = {}
-        # New connections so far.
+        # The number of connections opened so far.
         self.opened = 0
 
     def distrust(self, incarnation: str) -> None:
-        """Use each connection to an incarnation only once for a while, and close the idle ones."""
+        """Use each connection to an incarnation only once for `DISTRUST_S`, and close the idle ones."""
         self.distrusted_until[incarnation] = self.reactor.seconds() + DISTRUST_S
         self.close(incarnation)
 
     def is_distrusted(self, incarnation: str) -> bool:
-        """Whether an incarnation broke the protocol a short time ago."""
+        """True if an incarnation violated HTTP within the last `DISTRUST_S`."""
         return self.distrusted_until.get(incarnation, 0.0) > self.reactor.seconds()
 
     def close(self, incarnation: str) -> None:
@@ -205,40 +208,40 @@
             connection.transport.loseConnection()
 
     def closed(self, connection: EndpointConnection) -> None:
-        """A connection has ended; it is no longer idle."""
+        """Remove a connection that has ended from the idle ones."""
         idle = self.idle.get(connection.incarnation)
         if idle and connection in idle:
             idle.remove(connection)
 
     def max_idle_s(self, connection: EndpointConnection, at_most_once: bool) -> float:
-        """For how many seconds a connection may have lain idle to be used."""
+        """Return the maximum idle time of a connection, in seconds, at which it may still be reused."""
         if connection.keep_alive_s is None:
             return AT_MOST_ONCE_IDLE_S if at_most_once else IDLE_S
         return connection.keep_alive_s - IDLE_MARGIN_S
 
     def take_idle(self, incarnation: str, at_most_once: bool) -> EndpointConnection | None:
-        """The idle connection used last, if it may still be used."""
+        """Remove and return the most recently used idle connection that may still be reused, or None."""
         idle = self.idle.get(incarnation, [])
         now = self.reactor.seconds()
         while idle:
             connection = idle.pop()
-            if connection.is_spoiled or connection.state != 'QUIESCENT':
+            if connection.is_unusable or connection.state != 'QUIESCENT':
                 connection.transport.loseConnection()
             elif now - connection.idle_since > self.max_idle_s(connection, at_most_once):
                 if now - connection.idle_since <= self.max_idle_s(connection, False):
-                    # It can still carry a request that may be sent again.
+                    # The connection can still carry a request that may be retried.
                     idle.append(connection)
                     return None
                 connection.transport.loseConnection()
-            elif not connection.is_untouched():
-                connection.spoil()
+            elif not connection.has_no_pending_input():
+                connection.discard()
             else:
                 return connection
         return None
 
-    def give_back(self, connection: EndpointConnection) -> None:
-        """Keep a connection for the next request, unless there is a reason to close it."""
-        if connection.is_spoiled or connection.state != 'QUIESCENT' or self.is_distrusted(connection.incarnation):
+    def release(self, connection: EndpointConnection) -> None:
+        """Return a connection to the pool after a request, or close it if it can't be reused."""
+        if connection.is_unusable or connection.state != 'QUIESCENT' or self.is_distrusted(connection.incarnation):
             connection.transport.abortConnection()
             return
         if connection.keep_alive_s is not None and connection.keep_alive_s <= IDLE_MARGIN_S:
@@ -248,7 +251,7 @@
         self.idle.setdefault(connection.incarnation, []).append(connection)
 
     def sweep(self) -> None:
-        """Close the connections that have lain idle for too long."""
+        """Close the connections that exceeded their maximum idle time, and drop expired entries of distrust."""
         now = self.reactor.seconds()
         for incarnation, idle in list(self.idle.items()):
             kept = []
@@ -279,11 +282,11 @@
         at_most_once: bool,
         is_own_response: IsOwnResponse = lambda headers: True,
     ) -> defer.Deferred[effects.HttpResult]:
-        """Send a request; the Deferred gives an effects.HttpResult and never fails.
+        """Send a request; the Deferred fires with an effects.HttpResult and never fails.
 
-        Cancelling the Deferred gives up the attempt to connect, or closes the connection.
+        Cancelling the Deferred aborts the attempt to connect, or closes the connection.
 
-        :param is_own_response: given the headers of a response, False if it belongs to another request.
+        :param is_own_response: given the headers of a response, returns False if it belongs to another request.
         """
         connection = self.take_idle(incarnation, at_most_once)
         if connection is not None:
@@ -292,7 +295,7 @@
         self.opened += 1
         began = self.reactor.seconds()
         connection = EndpointConnection()
-        # Set before it connects, since it may end, or receive bytes, before `connected` is called.
+        # Set before the connection is opened, since it may end, or receive bytes, before `connected` is called.
         connection.incarnation, connection.owner = incarnation, self
         connecting = protocol.ClientCreator(self.reactor, lambda: connection).connectTCP(
             host, port, timeout=min(CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, timeout.total_seconds()))
@@ -318,8 +321,8 @@
         timeout: datetime.timedelta,
         is_own_response: IsOwnResponse,
     ) -> defer.Deferred[effects.HttpResult]:
-        """Send a request over a connection that carries no other; the Deferred is as in `fetch`."""
-        # Encoded here, because twisted would encode texts as UTF-8, and one byte received would be sent as two.
+        """Send a request over a connection without an outstanding request; the Deferred is as in `fetch`."""
+        # Encoded here, because Twisted would encode strings as UTF-8 and send one received byte as two.
         raw: typing.Any = {name: [value.encode('latin-1', 'replace')] for name, value in headers.items()}
         raw_headers = http_headers.Headers(raw)
         connection.is_own_response = lambda response: is_own_response(lowercased(response.headers))
@@ -329,10 +332,10 @@
             response = connection.request(
                 newclient.Request(method.encode(), path.encode('latin-1'), raw_headers, producer, persistent=True)
             )
-        except Exception as error:  # Whatever twisted refuses to send was not sent.
+        except Exception as error:  # A request that Twisted refuses has not been sent.
             connection.transport.abortConnection()
             return defer.succeed(effects.HttpResult(sent=False, fault=f'{type(error).__name__}: {error}'))
-        timer = self.reactor.callLater(max(MIN_TIMEOUT_S, timeout.total_seconds()), connection.spoil)
+        timer = self.reactor.callLater(max(MIN_TIMEOUT_S, timeout.total_seconds()), connection.discard)
         response.addCallback(self.read, connection)
         response.addErrback(self.failed, connection)
 
@@ -340,15 +343,15 @@
             if timer.active():
                 timer.cancel()
             if result.fault:
-                connection.spoil()
+                connection.discard()
             else:
-                self.give_back(connection)
+                self.release(connection)
             return result
 
         return response.addCallback(finished)
 
     def read(self, response: typing.Any, connection: EndpointConnection) -> defer.Deferred[effects.HttpResult]:
-        """Read a response to its end, or the one after it if this one belongs to another request."""
+        """Read a response to its end, or the next one if this one belongs to another request."""
         breaks_protocol = violates_http(response, connection)
         complete: defer.Deferred[tuple[bytes, str]] = defer.Deferred()
         response.deliverBody(response_body.ResponseBody(complete, MAX_RESPONSE_BYTES))
@@ -371,11 +374,11 @@
         return complete.addCallback(body_read)
 
     def failed(self, reason: failure.Failure, connection: EndpointConnection) -> effects.HttpResult:
-        """The result of a request that got no response; what was no plain end of the connection is distrusted."""
+        """Return the result of a request that got no response; distrust its endpoint unless the connection just ended."""
         assert reason.type is not None
         unsent = reason.check(newclient.RequestNotSent, network_error.ConnectError)
         causes = [cause.type for cause in getattr(reason.value, 'reasons', ())]
-        # We end the connection of a request that is cancelled, which says nothing of its endpoint.
+        # A cancelled request's connection is closed by us, which is no violation by its endpoint.
         ends = (network_error.ConnectionClosed, network_error.ConnectionAborted, OSError, defer.CancelledError)
         if any(not issubclass(cause, ends) for cause in causes):
             connection.distrust_endpoint()
@@ -383,7 +386,7 @@
 
 
 def violates_http(response: typing.Any, connection: EndpointConnection) -> bool:
-    """Whether a response is not HTTP, has an impossible status, or is framed in two ways."""
+    """True if a response is not HTTP, has an impossible status, or declares its length in two ways."""
     framing = connection._parser.connHeaders if connection._parser is not None else http_headers.Headers()
     return (
         response.version[0] != b'HTTP'
@@ -393,7 +396,7 @@
 
 
 def lowercased(headers: http_headers.Headers) -> dict[str, str]:
-    """Headers as a dict with names in lower case."""
+    """Return headers as a dict with names in lower case."""
     return {
         name.decode('latin-1').lower(): b','.join(values).decode('latin-1')
         for name, values in headers.getAllRawHeaders()
--- a/zinctrail/transport/host.py
+++ b/zinctrail/transport/host.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of a state machine with sockets, files and timers, on one event loop."""
+"""The host of a state machine: feeds it inputs, and carries out its effects with sockets, files and timers."""
 
 import collections
 import datetime
@@ -25,22 +25,22 @@
 import zinctrail.transport.twisted_types as twisted_types
 import zinctrail.transport.web as web
 
-# The exit code of a node that can't go on (EX_SOFTWARE of sysexits.h: an internal error).
-EXIT_BROKEN = 70
-# How often the connections of open traffic, and the idle ones to endpoints, are checked.
+# The exit code after an exception in a state machine with a disk (EX_SOFTWARE of sysexits.h: an internal error).
+EXIT_INTERNAL_ERROR = 70
+# The intervals at which the connections of open traffic, and the idle ones to endpoints, are checked for timeouts.
 OPEN_SWEEP_S = 0.25
 IDLE_SWEEP_S = 1.0
-# How often, and how far apart, an exit looks whether open traffic still has connections.
+# How many times, and at which interval, an exit checks whether open traffic still has connections.
 EXIT_CHECKS = 10
 EXIT_CHECK_S = 0.02
-# How long the process goes on after its exit is decided, so that what was just sent gets out.
+# How long the event loop still runs before the process exits, so that data just written is sent.
 EXIT_DELAY_S = 0.05
-# An input that takes this long is logged, since a slow write or handler blocks everything else on the loop.
+# An input that takes longer than this is logged, since a slow write or handler blocks everything else on the loop.
 STALL = datetime.timedelta(milliseconds=200)
 
 
 class ListeningLocation(typing.Protocol):
-    """Where a process listens: for frames, for HTTP, and for open traffic ('' where it takes none)."""
+    """The addresses that a process listens on: for frames, for HTTP, and for open traffic ('' for none)."""
 
     addr: str
     http: str
@@ -48,32 +48,32 @@
 
 
 class EffectDisk(typing.Protocol):
-    """Where disk effects go: disk.Disk, or a simulation of it."""
+    """The interface of disk.Disk and of its simulation: it carries out disk effects."""
 
     def carry_out(self, effect: typing.Any) -> None:
-        """Carry out one of `effects.DISK_EFFECTS`; raises DiskError where it did not reach the disk."""
+        """Carry out one of `effects.DISK_EFFECTS`; raises DiskError if the write did not reach the disk."""
 
 
 class HostedMachine(typing.Protocol):
-    """What a host needs of the state machine that it runs."""
+    """The interface that a host requires of its state machine."""
 
-    # What the process is called in its log lines, and what it is in the cluster now.
+    # The process's name in its log lines, and its current role in the cluster.
     prefix: str
     mode: str
     location: ListeningLocation
     settings: settings.Settings
     request_sampler: request_sampling.RequestSampler
-    # Set by the host: what only it knows.
+    # Set by the host: returns the host's counters for the status pages.
     figures: typing.Callable[[], dict[str, typing.Any]]
 
     def feed(self, kind: str, now: datetime.timedelta, *args: typing.Any) -> list:
-        """Handle one input; returns its effects."""
+        """Handle one input, and return its effects."""
 
     def next_timer(self) -> datetime.timedelta | None:
-        """When to feed `wake` next; None if no timer is set."""
+        """Return the time at which to feed `wake` next, or None if no timer is set."""
 
     def measures(self) -> typing.Iterator[metrics.Metric]:
-        """Rows of the metrics page."""
+        """Yield the state machine's rows of the metrics page."""
 
 
 class Host:
@@ -89,14 +89,14 @@
         figures_interval_s: float = 0,
     ) -> None:
         """
-        :param disk: where disk effects go; None for a machine that keeps nothing.
+        :param disk: carries out disk effects; None for a state machine that stores nothing.
         :param dialect: an `IDialect`, by default our own.
-        :param api_addresses: further addresses where the API is served, in the dialect.
-        :param figures_interval_s: seconds between two log lines of figures; 0 for none.
+        :param api_addresses: further addresses at which the API is served, in the dialect.
+        :param figures_interval_s: seconds between two log lines with the process's counters; 0 for none.
         """
         self.dialect = dialect or transport_dialect.NativeDialect()
         self.api_listeners = [web.DialectResource(self, addr) for addr in api_addresses]
-        # Set where the machine takes open traffic.
+        # Set if the state machine accepts open traffic.
         self.open_server: open_traffic_server.OpenTrafficServer | None = None
         self.machine = machine
         self.reactor = clock.use_steady_clock(reactor)
@@ -110,12 +110,12 @@
         self.api = web.ApiResource(self)
         self.http_client = http_client.HttpClient(reactor, verifies=True)
         self.endpoint_client = endpoint_client.EndpointClient(reactor)
-        # Calls to endpoints that have no result yet, by the id of their fetch.
+        # {fetch id: outstanding call to an endpoint}.
         self.fetches: dict[int, defer.Deferred[effects.HttpResult]] = {}
-        # Inputs that wait for their turn: (kind, arguments).
+        # Inputs that are queued to be fed: (kind, arguments).
         self.inputs: collections.deque[tuple[str, tuple]] = collections.deque()
         self.is_feeding = False
-        # The delayed call that feeds the next wake-up, and when that is due.
+        # The delayed call that feeds the next `wake` input, and the time at which it is due.
         self.wake_up: typing.Any = None
         self.wake_up_at: datetime.timedelta | None = None
         self.has_ended = False
@@ -125,7 +125,7 @@
         machine.figures = self.figures
 
     def figures(self) -> dict:
-        """What only the host knows, for the status pages."""
+        """Return the host's own counters, for the status pages."""
         return {
             **self.stats,
             'opened': self.http_client.connector.opened,
@@ -142,7 +142,7 @@
         }
 
     def log_figures(self) -> None:
-        """Log one line: what this process has used since its start."""
+        """Log one line with the process's counters and resource usage since its start."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         figures = {
             'mode': self.machine.mode,
@@ -155,21 +155,21 @@
     def start(self) -> None:
         """Listen on all addresses and feed the first input.
 
-        :raises zinctrail.errors.SettingsError: an address can't be listened on.
+        :raises zinctrail.errors.SettingsError: listening on an address failed.
         """
         try:
             self._listen()
         except Exception as error:
             raise errors.SettingsError(f'can not listen: {error}') from error
         if self.figures_interval_s:
-            repeat(self.log_figures, self.figures_interval_s)
+            call_periodically(self.log_figures, self.figures_interval_s)
         self.reactor.addSystemEventTrigger('before', 'shutdown', self.shutdown)
         self.feed('start')
 
     def _listen(self) -> None:
         location = self.machine.location
         self.peers.listen(location.addr)
-        # The same API takes requests and configurations, so the larger of the two limits holds.
+        # Requests and configurations arrive at the same API, so the larger of the two limits applies.
         body_limit_bytes = max(self.machine.settings.body_most, self.machine.settings.config_most)
         for root, addr in [(self.api, location.http), *((listener, listener.addr) for listener in self.api_listeners)]:
             host, port = peer_connections.split_address(addr)
@@ -178,18 +178,18 @@
             host, port = peer_connections.split_address(location.front)
             self.open_server = open_traffic_server.OpenTrafficServer(self, self.dialect, self.reactor)
             self.open_server.listen(port, host)
-            repeat(self.endpoint_client.sweep, IDLE_SWEEP_S)
-            repeat(self.open_server.sweep, OPEN_SWEEP_S)
+            call_periodically(self.endpoint_client.sweep, IDLE_SWEEP_S)
+            call_periodically(self.open_server.sweep, OPEN_SWEEP_S)
 
     def now(self) -> datetime.timedelta:
-        """The time that inputs are stamped with."""
+        """Return the current time, with which inputs are fed."""
         return clock.now()
 
     def feed(self, kind: str, *args: typing.Any) -> None:
-        """Hand an input to the state machine and carry out its effects.
+        """Feed an input to the state machine and carry out its effects.
 
-        An effect may produce the next input before the effects of its own
-        input are done, so inputs wait in a queue.
+        Carrying out an effect may produce another input. Inputs are queued, so
+        that it is fed only after all effects of the current one.
         """
         if self.has_ended:
             return
@@ -213,10 +213,10 @@
         self.set_wake_up()
 
     def log_stall(self, kind: str, took: datetime.timedelta) -> None:
-        """Log and count an input that blocked the loop for too long."""
+        """Log and count an input that blocked the event loop for longer than `STALL`."""
         self.stats['stalls'] += 1
         logging.warning(
-            '%s: loop stalled for %d ms in %s.',
+            '%s: event loop blocked for %d ms by input %s.',
             self.machine.prefix,
             durations.to_ms(took),
             kind,
@@ -224,21 +224,21 @@
         )
 
     def handler_failed(self, kind: str) -> None:
-        """Log an exception of the state machine; a process with a disk ends.
+        """Log an exception of the state machine, and exit if the process has a disk.
 
-        Its memory may hold half of a change that its disk does not hold. After
-        a restart it loads a consistent state.
+        The state in memory may contain half of a change that the disk does not
+        contain. After a restart, a consistent state is loaded from the disk.
         """
         logging.exception('%s: handler of input %s failed.', self.machine.prefix, kind)
         self.stats['broke'] += 1
         if self.disk is not None:
-            logging.error('%s: exits, because its memory may be inconsistent with its disk.', self.machine.prefix)
-            self.exit_code = EXIT_BROKEN
+            logging.error('%s: exiting: state in memory may be inconsistent with the disk.', self.machine.prefix)
+            self.exit_code = EXIT_INTERNAL_ERROR
             self.inputs.clear()
             self.exit(None)
 
     def set_wake_up(self) -> None:
-        """Schedule the wake-up for the state machine's next timer."""
+        """Schedule the `wake` input for the state machine's next timer."""
         due = self.machine.next_timer()
         if due == self.wake_up_at and self.wake_up is not None and self.wake_up.active():
             return
@@ -249,12 +249,12 @@
             self.wake_up = self.reactor.callLater(max(0.0, (due - self.now()).total_seconds()), self.wake)
 
     def wake(self) -> None:
-        """Feed the wake-up that was scheduled."""
+        """Feed the `wake` input that was scheduled."""
         self.wake_up = self.wake_up_at = None
         self.feed('wake')
 
     def run(self, steps: list) -> None:
-        """Carry out the effects of one input, in their order."""
+        """Carry out the effects of one input, in order."""
         for effect in steps:
             if isinstance(effect, effects.DISK_EFFECTS):
                 assert self.disk is not None
@@ -262,11 +262,11 @@
                     self.disk.carry_out(effect)
                     self.stats['writes'] += 1
                 except errors.DiskError as error:
-                    # The effects that follow rest on what was not written, so they are left out.
+                    # The effects that follow rely on the failed write, so they are skipped.
                     self.inputs.append(('disk_fault', (str(error),)))
                     return
             else:
-                RUNS[type(effect)](self, effect)
+                EFFECT_HANDLERS[type(effect)](self, effect)
 
     def respond(self, response: effects.HttpResponse) -> None:
         """Send a response to the API call or the request of open traffic that it belongs to."""
@@ -282,7 +282,7 @@
         self.endpoint_client.close(effect.incarnation)
 
     def fetch(self, effect: effects.HttpFetch) -> None:
-        """Send a request to an endpoint, and feed its result."""
+        """Send a request to an endpoint, and feed the result."""
         if effect.plain:
             self.fetch_plain(effect)
             return
@@ -292,7 +292,7 @@
         self.await_result(effect.fetch_id, call)
 
     def await_result(self, fetch_id: int, call: defer.Deferred[effects.HttpResult]) -> None:
-        """Feed the result of a call, unless it is cancelled before."""
+        """Feed the result of a call, unless the call is cancelled first."""
 
         def received(result: effects.HttpResult) -> None:
             if self.fetches.pop(fetch_id, None) is not None:
@@ -302,13 +302,13 @@
         call.addCallback(received)
 
     def cancel_fetch(self, effect: effects.CancelFetch) -> None:
-        """Close the connection of a call that nobody waits for; its result is not fed."""
+        """Cancel a call whose result is no longer needed: its connection is closed, and no result is fed."""
         call = self.fetches.pop(effect.fetch_id, None)
         if call is not None:
             call.cancel()
 
     def fetch_plain(self, effect: effects.HttpFetch) -> None:
-        """Send a request or a health check to an endpoint that links no library of ours."""
+        """Send a request or a health check to a plain endpoint (one without our library)."""
         request_id = effect.headers.get('zt-id')
         # The response to a health check names the incarnation, the response to a request names the request.
         is_request = request_id is not None
@@ -319,7 +319,7 @@
             return result
 
         def is_own_response(headers: dict[str, str]) -> bool:
-            # A response that names no request is not a late one to another request but a faulty one to this request.
+            # A response without a request id is a malformed response to this request, not a late one to another.
             return self.dialect.endpoint_response_in(headers).get('zt-id') in (None, request_id)
 
         call = self.endpoint_client.fetch(
@@ -335,18 +335,18 @@
         )
         self.await_result(effect.fetch_id, call.addCallback(translated))
 
-    def limit(self, limits: effects.Limits) -> None:
+    def apply_limits(self, limits: effects.Limits) -> None:
         """Apply the limits of open traffic."""
         if self.open_server:
-            self.open_server.limit(limits)
+            self.open_server.apply_limits(limits)
 
-    def leave(self, effect: effects.DrainOpenTraffic) -> None:
-        """Let the clients of open traffic go elsewhere."""
+    def drain_open_traffic(self, effect: effects.DrainOpenTraffic) -> None:
+        """Drain open traffic: make its clients connect to other proxies."""
         if self.open_server:
             self.open_server.drain(effect.shut)
 
     def exit(self, effect: effects.Exit | None, checks_left: int = EXIT_CHECKS) -> None:
-        """Stop the loop, once the connections of open traffic are closed or have had their time."""
+        """Stop the event loop once the connections of open traffic are closed or `EXIT_CHECKS` are used up."""
         if self.open_server is not None and self.open_server.connections and checks_left and not self.exit_code:
             # A response not yet written, or a request not yet read, would end with its connection.
             self.reactor.callLater(EXIT_CHECK_S, self.exit, effect, checks_left - 1)
@@ -355,25 +355,25 @@
         self.reactor.callLater(EXIT_DELAY_S, self.reactor.stop)
 
     def shutdown(self) -> None:
-        """Close the connections to other processes before the loop ends."""
+        """Close the connections to other processes before the event loop stops."""
         self.has_ended = True
         self.peers.close()
 
 
-def repeat(function: typing.Callable[[], typing.Any], interval_s: float) -> None:
-    """Call a function every `interval_s` seconds; calls that were missed are not made up for."""
+def call_periodically(function: typing.Callable[[], typing.Any], interval_s: float) -> None:
+    """Call a function every `interval_s` seconds; missed calls are not made up for."""
     task.LoopingCall.withCount(lambda count: function()).start(interval_s, now=False)
 
 
-# How each effect is carried out; those of `effects.DISK_EFFECTS` go to the disk.
-RUNS: dict[type, typing.Callable[[Host, typing.Any], None]] = {
+# {type of effect: the function that carries it out}; those of `effects.DISK_EFFECTS` go to the disk.
+EFFECT_HANDLERS: dict[type, typing.Callable[[Host, typing.Any], None]] = {
     effects.Send: lambda host, effect: host.peers.send(effect.address, effect.frame, effect.packs),
     effects.HttpResponse: Host.respond,
     effects.HttpFetch: Host.fetch,
     effects.CancelFetch: Host.cancel_fetch,
     effects.CloseConnections: Host.close_endpoint,
-    effects.Limits: Host.limit,
-    effects.DrainOpenTraffic: Host.leave,
+    effects.Limits: Host.apply_limits,
+    effects.DrainOpenTraffic: Host.drain_open_traffic,
     effects.Log: lambda host, effect: logging.info('%s', effect.text, extra={'fields': effect.fields}),
     effects.NotifyDurable: lambda host, effect: host.inputs.append(('done', (effect.name,))),
     effects.Exit: Host.exit,
--- a/zinctrail/transport/http_client.py
+++ b/zinctrail/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to parties that link our libraries, over kept connections, by twisted.web."""
+"""HTTP client for parties that use our libraries, over persistent connections, built on twisted.web."""
 
 import datetime
 import io
@@ -19,59 +19,62 @@
 import zinctrail.transport.twisted_types as twisted_types
 import zinctrail.transport.web as web
 
-# Responses are kept whole in memory until they are checked.
+# Limited because each response is buffered in memory as a whole before it is checked.
 MAX_RESPONSE_BYTES = 8 << 20
-# Half of the server's idle time: the side that reuses a connection must give up on it first.
+# Half of the server's idle timeout: the client, which reuses a connection, must close it before the server does.
 IDLE_S = web.IDLE_S // 2
 CONNECT_TIMEOUT_S = 1
 MAX_CONNECTIONS_PER_HOST = 64
 MIN_TIMEOUT_S = 0.001
-# How many connections are tried for one request. Another request may take the one that was just verified, and a
-# server that closes each connection leaves none.
+# How many connections are verified for one request at most. Another request may take the one that was just verified,
+# and a server that closes every connection leaves none.
 MAX_VERIFICATIONS = 8
-# Where an endpoint says which incarnation it is.
+# The path at which an endpoint returns its incarnation.
 LIVE_PATH = '/zt/live'
 
 
 @zope.interface.implementer(iweb.IAgentEndpointFactory)
 class NumericAddressConnector:
-    """Connects to numeric addresses without a resolver.
+    """Creates connections to numeric addresses without a resolver.
 
-    Twisted's default hands every new connection to a resolver thread, numeric
-    addresses too, and these pile up just when everybody reconnects.
+    Twisted's default passes every new connection to a resolver thread, even for
+    numeric addresses, and these calls pile up just when all clients reconnect.
     """
 
     def __init__(self, reactor: twisted_types.Reactor) -> None:
         self.reactor = reactor
-        # New connections so far.
+        # The number of connections opened so far.
         self.opened = 0
 
     def endpointForURI(self, uri: client.URI) -> 'CountingEndpoint':
-        """The address of a URI, which is connected to only if no connection is kept."""
+        """Return the endpoint for a URI; Twisted connects to it only if the pool has no connection."""
         return CountingEndpoint(self, self.reactor, uri.host.decode(), uri.port, timeout=CONNECT_TIMEOUT_S)
 
 
 class CountingEndpoint(endpoints.TCP4ClientEndpoint):
-    """Requested for every call, but connected only where no connection is kept; counts the new ones."""
+    """A TCP endpoint that counts the connections opened to it.
+
+    It is created for every call, but connected only if the pool has no connection.
+    """
 
     def __init__(self, counter: NumericAddressConnector, *args: typing.Any, **options: typing.Any) -> None:
         super().__init__(*args, **options)
         self.counter = counter
 
     def connect(self, factory: typing.Any) -> defer.Deferred:
-        """Open a new connection, and count it: new connections are costly where requests are many."""
+        """Open a new connection, and count it: new connections are costly at a high request rate."""
         self.counter.opened += 1
         return super().connect(factory)
 
 
 class IncarnationError(Exception):
-    """The other side of a new connection is not the intended incarnation, or could not show that it is."""
+    """Raised when the peer of a new connection is not the intended incarnation, or could not be verified as it."""
 
 
 class IncarnationPool(client.HTTPConnectionPool):
-    """Connections to one incarnation; each is verified once before a request is sent over it.
+    """Connection pool of one incarnation; each connection is verified once before a request is sent over it.
 
-    Without this, whoever listens on the address of a dead endpoint would get
+    Without this, a new process at the address of a dead endpoint would receive
     the first request of every new connection, and would be recognised only
     afterwards.
     """
@@ -83,34 +86,34 @@
 
     @defer.inlineCallbacks
     def getConnection(self, key: typing.Any, endpoint: typing.Any) -> twisted_types.Steps[typing.Any]:
-        """A verified connection; fails with IncarnationError where there is none."""
+        """Return a verified connection; fails with IncarnationError if there is none."""
         for _ in range(MAX_VERIFICATIONS):
             connection = yield super().getConnection(key, endpoint)
             if getattr(connection, 'verified_incarnation', None) == self.incarnation:
                 return connection
             self.http_client.verifications += 1
             yield self._verify(connection, key)
-            # Taken again from the pool, because reading the response returned the connection to it.
+            # Reading the response returned the connection to the pool, so it is taken from there in the next round.
             connection.verified_incarnation = self.incarnation
             yield task.deferLater(self.http_client.reactor, 0)
-        raise IncarnationError('no connection stays open')
+        raise IncarnationError('no verified connection stayed open')
 
     @defer.inlineCallbacks
     def _verify(self, connection: typing.Any, key: typing.Any) -> twisted_types.Steps[None]:
         headers = http_headers.Headers({b'host': [b'%s:%d' % key[1:]], b'zt-inc': [self.incarnation]})
-        question = client.Request(b'GET', LIVE_PATH.encode(), headers, None, persistent=True)
+        live_request = client.Request(b'GET', LIVE_PATH.encode(), headers, None, persistent=True)
         try:
-            response = yield connection.request(question)
+            response = yield connection.request(live_request)
             yield client.readBody(response)
-        except Exception as error:  # Whatever went wrong, the request itself has not been sent.
+        except Exception as error:  # Only the liveness request failed; the client's request has not been sent.
             connection.abort()
-            raise IncarnationError(f'not asked: {type(error).__name__}') from error
+            raise IncarnationError(f'liveness request failed: {type(error).__name__}') from error
         if response.headers.getRawHeaders(b'zt-inc', [b''])[0] != self.incarnation:
-            raise IncarnationError('another incarnation')
+            raise IncarnationError('peer is another incarnation')
 
 
 class Fetcher(typing.Protocol):
-    """Sends HTTP requests: HttpClient, or a simulation of it."""
+    """The interface of HttpClient and of its simulation: it sends HTTP requests."""
 
     def fetch(
         self,
@@ -123,30 +126,30 @@
         timeout: datetime.timedelta,
         /,
     ) -> defer.Deferred[effects.HttpResult]:
-        """Send a request; the Deferred gives its result and never fails. Connections are kept by `key`."""
+        """Send a request; the Deferred fires with its result and never fails. Connections are pooled by `key`."""
 
 
 class HttpClient:
-    """HTTP calls over kept connections.
+    """HTTP client over persistent connections, pooled by a key.
 
-    With `verifies`, the key of a call is an incarnation, and only connections
-    that were verified to lead to it are used.
+    With `verifies`, the key of a call is an incarnation, and a connection is
+    used only after its peer was verified to be that incarnation.
     """
 
     def __init__(self, reactor: twisted_types.Reactor, verifies: bool = False) -> None:
         self.reactor = reactor
         self.verifies = verifies
-        # {key: the connections that are kept, and the agent that uses them}.
+        # {key: (connection pool, the agent that uses it)}.
         self.pools: dict[str, tuple[client.HTTPConnectionPool, typing.Any]] = {}
         self.connector = NumericAddressConnector(reactor)
-        # How often a connection's other side was asked which incarnation it is.
+        # The number of connection verifications so far.
         self.verifications = 0
 
     def _agent(self, key: str) -> typing.Any:
         if key not in self.pools:
             is_verified = self.verifies and key != LIVE_PATH
             pool = IncarnationPool(self, key) if is_verified else client.HTTPConnectionPool(self.reactor)
-            # An automatic retry of the library could run a request a second time without our knowledge.
+            # An automatic retry by Twisted could run a request a second time without our knowledge.
             pool.retryAutomatically = False
             pool.maxPersistentPerHost = MAX_CONNECTIONS_PER_HOST
             pool.cachedConnectionTimeout = IDLE_S
@@ -169,14 +172,17 @@
         body: bytes,
         timeout: datetime.timedelta,
     ) -> defer.Deferred[effects.HttpResult]:
-        """Send a request; the Deferred gives an effects.HttpResult and never fails. Cancelled, it ends the connection."""
-        # A liveness check asks for the identity itself, so its connection needs no verification.
+        """Send a request; the Deferred fires with an effects.HttpResult and never fails.
+
+        Cancelling the Deferred closes the connection.
+        """
+        # The response to a liveness check contains the incarnation, so its connection needs no verification.
         key = LIVE_PATH if path == LIVE_PATH else key
         raw_headers = http_headers.Headers({name: [value] for name, value in headers.items()})
         producer = client.FileBodyProducer(io.BytesIO(body)) if body or method in ('POST', 'PUT') else None
         try:
             response = self._agent(key).request(method.encode(), f'http://{addr}{path}'.encode(), raw_headers, producer)
-        except Exception as error:  # Whatever twisted refuses to send was not sent.
+        except Exception as error:  # A request that Twisted refuses has not been sent.
             return defer.succeed(effects.HttpResult(sent=False, fault=f'{type(error).__name__}: {error}'))
         timer = self.reactor.callLater(max(MIN_TIMEOUT_S, timeout.total_seconds()), response.cancel)
         response.addCallback(read_body)
@@ -191,7 +197,7 @@
 
 
 def read_body(response: typing.Any) -> defer.Deferred[effects.HttpResult]:
-    """Read the body of a response; the Deferred gives an effects.HttpResult."""
+    """Read the body of a response; the Deferred fires with an effects.HttpResult."""
     complete: defer.Deferred[tuple[bytes, str]] = defer.Deferred(
         lambda _: body.transport and body.transport.abortConnection()
     )
@@ -205,9 +211,9 @@
 
 
 def result_of_failure(reason: failure.Failure) -> effects.HttpResult:
-    """The result of a request that got no response; it says whether any byte of it was sent."""
+    """Return the result of a request that got no response; `sent` is False if no byte of the request was sent."""
     assert reason.type is not None
-    # These are raised before a connection exists, or while its other side is verified: no byte of the request was sent.
+    # These are raised before a connection exists, or while its peer is verified: no byte of the request was sent.
     unsent = reason.check(
         network_error.ConnectError,
         network_error.ConnectionRefusedError,
--- a/zinctrail/transport/metrics_page.py
+++ b/zinctrail/transport/metrics_page.py
@@ -1,4 +1,4 @@
-"""GET /v1/metrics: what a process measures of itself, in the Prometheus text format."""
+"""GET /v1/metrics: the metrics of a process, in the Prometheus text format."""
 
 import os
 import typing
@@ -12,7 +12,7 @@
 
 
 def host_rows(host: 'transport_host.Host') -> typing.Iterator[metrics.Metric]:
-    """Yield the metrics that only the host knows, as the rows of `runtime.metrics`."""
+    """Yield the host's own metrics, as rows of `runtime.metrics`."""
     stats, peers = host.stats, host.peers
     yield metrics.counter('stalls', 'Times the loop was held up for 200 ms or more.', stats['stalls'])
     yield metrics.counter('broken_inputs', 'Inputs whose handler broke.', stats['broke'])
@@ -32,7 +32,7 @@
 
 
 def resident_bytes() -> float:
-    """Resident memory of this process; NaN where it can't be read."""
+    """Return the resident memory of this process in bytes, or NaN if it can't be read."""
     try:
         with open('/proc/self/statm', encoding='ascii') as file:
             return int(file.read().split()[1]) * os.sysconf('SC_PAGE_SIZE')
@@ -41,16 +41,16 @@
 
 
 def open_descriptors() -> float:
-    """Open file descriptors of this process; NaN where they can't be listed."""
+    """Return the number of open file descriptors of this process, or NaN if they can't be listed."""
     try:
-        # Listing the folder opens one descriptor itself.
+        # Minus the descriptor that listing the folder opens.
         return len(os.listdir('/proc/self/fd')) - 1
     except OSError:
         return float('nan')
 
 
 class RowCollector:
-    """A prometheus_client collector over rows that are made at each scrape."""
+    """A prometheus_client collector for the rows of one scrape."""
 
     def __init__(self, rows: list[metrics.Metric]) -> None:
         self.rows = rows
@@ -76,7 +76,7 @@
 
 
 def cumulative_buckets(counts: list[int], bounds: list[float]) -> list[tuple[str, int]]:
-    """The buckets of a histogram as the text format has them: each one includes those below it."""
+    """Return the cumulative buckets of a histogram that the text format requires: each includes those below it."""
     buckets, so_far = [], 0
     for bound, count in zip([*map(str, bounds), '+Inf'], counts, strict=True):
         so_far += count
@@ -85,7 +85,7 @@
 
 
 def page(host: 'transport_host.Host') -> tuple[str, bytes]:
-    """The content type and the body of the page."""
+    """Return the content type and the body of the metrics page."""
     # Imported here because most processes are never scraped, and the import costs 0.7 MB and 22 ms of processor
     # time (docs/operate/figures.md).
     import prometheus_client.exposition as exposition
--- a/zinctrail/transport/open_traffic_server.py
+++ b/zinctrail/transport/open_traffic_server.py
@@ -1,9 +1,9 @@
-"""The HTTP server of open traffic: any path is a request, handed to the state machine as one input.
+"""The HTTP server of open traffic: a request to any path is fed to the state machine as one input.
 
-The operator's limits hold here: the size of a header and of a body, the time a
-header may take, the time a connection may lie idle. A client that exceeds them
-gets an error response (or is only closed, where it requested nothing), and no
-other client is affected.
+The operator's limits are enforced here: the size of headers and bodies, the
+time that receiving a header may take, the idle time of a connection. A client
+that exceeds them gets an error response (or is only disconnected, if it has
+sent no request), and no other client is affected.
 """
 
 import socket
@@ -17,46 +17,46 @@
 import zinctrail.runtime.effects as effects
 import zinctrail.transport.twisted_types as twisted_types
 
-# How long the connection of a refused client stays open after the response. Closed with bytes unread, it would be
-# reset, and the response lost.
+# How long the connection of a refused client stays open after the response. Closing it with unread bytes would reset
+# it, and the response would be lost.
 LINGER_S = 1.0
-# How long a connection that was closed in order may take to send what is left.
+# How long a connection may take to send its remaining data after an orderly close; then it is aborted.
 MAX_CLOSE_S = 10.0
-# Bodies in memory at one time, of all connections together: many large ones must not exhaust the process.
+# The limit of buffered bodies, of all connections together: many large ones must not exhaust the process's memory.
 MAX_BUFFERED_BYTES = 80 << 20
-# Open connections: endpoints and peers need descriptors too.
+# The limit of client connections: endpoints and peers need file descriptors too.
 MAX_CONNECTIONS = 3000
-# What twisted may preallocate for an announced body.
+# How much memory Twisted may preallocate for an announced body.
 MAX_ANNOUNCED_BYTES = 1 << 20
-# Seconds until a client refused for want of room may come back.
+# The Retry-After, in seconds, for a client that is refused because a buffer or connection limit is reached.
 RETRY_AFTER = b'0.5'
-# How much earlier than we close an idle connection clients are told that we do: whoever uses it at the last moment
-# must not meet its end.
+# The announced keep-alive timeout is this much shorter than the real one, so that no client sends a request on a
+# connection that is just being closed.
 KEEP_ALIVE_MARGIN_S = 1
 # Statuses whose responses have no body and no content-length.
 BODILESS = (204, 304)
 
-# How a request of open traffic is named to the state machine: 'front', and its number.
+# The id of a request of open traffic: 'front', and its number.
 RequestId = tuple[str, int]
 
 
-class FedHost(typing.Protocol):
-    """What the server needs of the host that it feeds."""
+class InputSink(typing.Protocol):
+    """The interface that the server requires of its host."""
 
     def feed(self, kind: str, *args: typing.Any) -> None:
-        """Hand an input to the state machine."""
+        """Feed an input to the state machine."""
 
 
 class OpenRequest(http.Request):
-    """One request; its body is limited while it arrives."""
+    """One request of open traffic; limits on its body are enforced while the body arrives."""
 
-    # Twisted declares types without our fields.
+    # The types that Twisted declares lack our fields.
     channel: typing.Any
     content: typing.Any
     received_bytes = 0
-    # Set when it is handed to the state machine.
+    # Set when the request is fed to the state machine.
     request_id: RequestId | None = None
-    # Whether it has been handed to the state machine.
+    # True once the request has been fed to the state machine.
     is_submitted = False
 
     def __init__(self, channel: typing.Any, *args: typing.Any, **options: typing.Any) -> None:
@@ -64,7 +64,7 @@
         self.server: OpenTrafficServer = channel.site
 
     def gotLength(self, length: int | None) -> None:
-        """Refuse a body whose announced length is above a limit."""
+        """Refuse the request if the announced length of its body is above a limit."""
         server = self.server
         if length and length > server.limits.body_bytes:
             self.channel.refuse(413)
@@ -73,7 +73,7 @@
         super().gotLength(min(length, MAX_ANNOUNCED_BYTES) if length else length)
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keep a chunk of the body, or refuse the request."""
+        """Buffer a chunk of the body, or refuse the request if a limit is exceeded."""
         if self.channel.is_refused:
             return
         self.received_bytes += len(data)
@@ -87,15 +87,15 @@
             super().handleContentChunk(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Hand the complete request to the server.
+        """Pass the complete request to the server.
 
         The base class is not called: it parses queries and forms, and refuses
-        those it can't read, which are none of our concern.
+        those that it can't parse, but proxied requests may contain any.
         """
         if self.channel.is_refused:
             return
         if len(self.requestHeaders.getRawHeaders(b'host', ())) != 1:
-            # Without one host no rule can be found, and 404 would be taken for the operator's decision.
+            # Without exactly one host, no rule can match, and a 404 would look like the operator's configuration.
             self.channel.refuse(400)
             return
         self.content.seek(0)
@@ -108,37 +108,37 @@
         self.release_body()
 
     def release_body(self) -> None:
-        """The body no longer counts as buffered."""
+        """Stop counting the body as buffered."""
         self.server.buffered_bytes -= self.received_bytes
         self.received_bytes = 0
 
     def connectionLost(self, reason: failure.Failure) -> None:
-        """The client has gone."""
+        """Handle the loss of the client's connection before the response was sent."""
         super().connectionLost(reason)
         self.release_body()
         if self.is_submitted:
-            self.server.abandoned(self)
+            self.server.client_disconnected(self)
 
 
 class ClientConnection(http.HTTPChannel):
-    """One connection of a client. The server's sweep watches its times; it has no timers of its own."""
+    """One connection of a client. Its timeouts are enforced by the server's sweep; it has no timers of its own."""
 
-    # Twisted declares a type without the methods of TCP.
+    # The type that Twisted declares lacks the methods of TCP.
     transport: typing.Any
     # The OpenTrafficServer; twisted.web reads this attribute too.
     site: typing.Any = None
-    # Since when a header has been arriving.
+    # When the header that is being received began; None if none is.
     header_since: float | None = None
-    # When it last carried anything of a request.
+    # When data of a request was last received, or a response completed.
     idle_since = 0.0
     is_in_body = False
-    # Whether everything that still arrives is ignored.
+    # True if the client was refused: everything that still arrives is ignored.
     is_refused = False
-    # When it is aborted if the client has not closed it by then.
+    # When the connection is aborted if the client has not closed it by then.
     abort_at: float | None = None
 
     def connectionMade(self) -> None:
-        """Register the connection, and make room if there are too many."""
+        """Register the connection, and make room for it if there are too many."""
         super().connectionMade()
         self.idle_since = self.site.now()
         sock = self.transport.getHandle()
@@ -149,16 +149,16 @@
             self.site.make_room(self)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.site.connections.discard(self)
         super().connectionLost(reason)
 
     def is_idle(self) -> bool:
-        """Whether it holds no request, nor the beginning of one."""
+        """True if the connection has no pending request and no partially received one."""
         return not self.requests and not self._receivedHeaderSize and not self._buffer
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse what arrives, and note when a header begins."""
+        """Parse received data, and record when a header begins."""
         if self.is_refused:
             return
         if not self._handlingRequest:
@@ -169,46 +169,46 @@
         self.clear_header_time()
 
     def clear_header_time(self) -> None:
-        """Some clients send an empty line behind a request, which does not begin a header."""
+        """Reset the header timeout if no header has begun: some clients send an empty line after a request."""
         if self.header_since is not None and self.is_idle():
             self.header_since = None
 
     def lineReceived(self, line: bytes) -> None:
-        """Parse a line; the bytes that a refusal came with may hold more of them."""
+        """Parse a line, unless the client was refused: lines may still follow in the data that was just received."""
         if not self.is_refused:
             super().lineReceived(line)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Parse a part of a body."""
+        """Parse a chunk of a body, unless the client was refused."""
         if not self.is_refused:
             super().rawDataReceived(data)
 
     def allHeadersReceived(self) -> None:
-        """The body begins."""
+        """Handle the end of the header: the body begins."""
         self.header_since, self.is_in_body = None, True
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:
-        """The body has ended."""
+        """Handle the end of the body."""
         self.is_in_body = False
         super().allContentReceived()
 
     def requestDone(self, request: OpenRequest) -> None:
-        """The response has been sent; the next header may have begun to arrive already."""
+        """Handle the end of the response; the next header may already have been received in part."""
         self.idle_since = self.site.now()
         self.header_since = self.idle_since if self._dataBuffer else None
         super().requestDone(request)
         self.clear_header_time()
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Refuse a header line above the limit."""
+        """Refuse a client that sent a header line above the limit."""
         self.refuse(431)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
         self.refuse(431 if self._receivedHeaderSize > self.totalHeadersSize else 400)
 
     def refuse(self, status: int) -> None:
-        """Send an error without having read the whole request; the connection ends with it."""
+        """Send an error response before the request is complete, and end the connection."""
         if self.is_refused:
             return
         self.is_refused, self.persistent = True, False
@@ -222,47 +222,47 @@
         self.abort_at = self.site.now() + LINGER_S
 
     def loseConnection(self) -> None:
-        """Close in order; aborted if that takes too long."""
+        """Close the connection after its pending data is sent; it is aborted if that takes over `MAX_CLOSE_S`."""
         self.abort_at = self.site.now() + MAX_CLOSE_S
         super().loseConnection()
 
 
 class OpenTrafficServer(http.HTTPFactory):
-    """The listener; `respond` is given the responses of the state machine."""
+    """The listener of open traffic: feeds requests to the state machine, and sends the responses it returns."""
 
     noisy = False
     protocol: typing.Any = ClientConnection
     reactor: twisted_types.Reactor
 
-    def __init__(self, host: FedHost, dialect: typing.Any, reactor: twisted_types.Reactor) -> None:
-        # Twisted's own timeout is off: the sweep applies the limits that hold at the time.
+    def __init__(self, host: InputSink, dialect: typing.Any, reactor: twisted_types.Reactor) -> None:
+        # Twisted's own timeout is off: the sweep applies the current limits, which may change.
         no_timeout: typing.Any = None
         super().__init__(reactor=reactor, timeout=no_timeout)
         self.host = host
         self.dialect = dialect
         self.last_request_no = 0
-        # Requests whose responses are outstanding, by their id.
+        # {request id: a request whose response is outstanding}.
         self.pending: dict[RequestId, OpenRequest] = {}
         self.connections: set[ClientConnection] = set()
-        # The listening port, while new connections are accepted.
+        # The listening port; None while no new connections are accepted.
         self.port: typing.Any = None
         self.buffered_bytes = 0
         self.is_draining = False
-        self.limit(effects.Limits())
+        self.apply_limits(effects.Limits())
 
     def log(self, request: http.Request) -> None:
-        """Switch twisted's access log off."""
+        """Log nothing: Twisted's access log is off."""
 
     def now(self) -> float:
-        """The reactor's time in seconds."""
+        """Return the reactor's time in seconds."""
         return self.reactor.seconds()
 
     def listen(self, port: int, interface: str) -> None:
         """Accept connections."""
         self.port = self.reactor.listenTCP(port, self, interface=interface)
 
-    def limit(self, limits: effects.Limits) -> None:
-        """Apply other limits, to open connections too."""
+    def apply_limits(self, limits: effects.Limits) -> None:
+        """Apply new limits, to existing connections too."""
         self.limits = limits
         self.max_header_s, self.max_idle_s = limits.header_ms / 1000, limits.idle_ms / 1000
         announced_s = int(self.max_idle_s - KEEP_ALIVE_MARGIN_S)
@@ -271,31 +271,31 @@
             self.apply_header_limit(connection)
 
     def apply_header_limit(self, connection: ClientConnection) -> None:
-        """Limit the headers of a connection's requests."""
+        """Apply the current header limit to a connection."""
         connection.totalHeadersSize = connection.MAX_LENGTH = self.limits.header_bytes
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> typing.Any:
-        """The protocol of a new connection."""
+        """Return the protocol of a new connection."""
         connection: typing.Any = super().buildProtocol(addr)
         connection.requestFactory = OpenRequest
         connection.site = self
         self.apply_header_limit(connection)
         return connection
 
-    def make_room(self, newcomer: ClientConnection) -> None:
-        """Close the connection that has been idle longest, or refuse the newcomer if none is idle."""
+    def make_room(self, new_connection: ClientConnection) -> None:
+        """Close the connection that has been idle longest, or refuse the new connection if none is idle."""
         idle = [
             connection
             for connection in self.connections
-            if connection is not newcomer and connection.abort_at is None and connection.is_idle()
+            if connection is not new_connection and connection.abort_at is None and connection.is_idle()
         ]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).loseConnection()
         else:
-            newcomer.refuse(503)
+            new_connection.refuse(503)
 
     def sweep(self) -> None:
-        """Abort, refuse or close the connections that have taken too long."""
+        """Abort, refuse or close the connections that exceeded a timeout."""
         now = self.now()
         for connection in list(self.connections):
             if connection.abort_at is not None:
@@ -311,7 +311,7 @@
                     connection.loseConnection()
 
     def drain(self, stops_listening: bool) -> None:
-        """From now on each response is its connection's last; optionally, accept no new connection either."""
+        """Close each connection after its next response, and optionally stop accepting new connections."""
         self.is_draining = True
         if not stops_listening or self.port is None:
             return
@@ -335,8 +335,8 @@
         )
         self.host.feed('front', request_id, self.dialect.request_in(call))
 
-    def abandoned(self, request: OpenRequest) -> None:
-        """Tell the state machine that a client has gone before its response."""
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """Notify the state machine that a client disconnected before it got its response."""
         if request.request_id is not None and self.pending.pop(request.request_id, None) is not None:
             self.host.feed('hung_up', request.request_id)
 
@@ -347,7 +347,7 @@
             return
         headers = self.dialect.response_out(response.headers)
         if self.is_draining:
-            # Announced, so that the client opens its next connection to another proxy.
+            # Announced so that the client opens its next connection to another proxy.
             headers['connection'] = 'close'
             request.channel.persistent = False
         elif self.keep_alive and request.channel.persistent:
@@ -359,7 +359,7 @@
     """Send a complete response."""
     request.setResponseCode(status)
     for name, value in headers.items():
-        # Encoded here, because twisted would encode texts as UTF-8, and one byte received would be sent as two.
+        # Encoded here, because Twisted would encode strings as UTF-8 and send one received byte as two.
         request.responseHeaders.setRawHeaders(name, [value.encode('latin-1', 'replace')])
     if status not in BODILESS:
         request.responseHeaders.setRawHeaders('content-length', [b'%d' % len(body)])
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -1,8 +1,8 @@
-"""Connections between our own processes: netstrings of JSON over TCP.
+"""Connections between our own processes: frames of JSON in netstrings over TCP.
 
-A process opens one connection to each peer that it sends to; frames travel
-only from the side that opened it. A frame is plain JSON, JSON compressed by
-itself (`PACKED`), or part of the connection's compressed stream (`STREAMED`).
+A process opens one connection to each peer that it sends to; frames are sent
+only by the side that opened it. A frame is plain JSON, separately compressed
+JSON (`PACKED`), or part of the connection's compressed stream (`STREAMED`).
 """
 
 import collections
@@ -20,40 +20,42 @@
 import zinctrail.consensus.message_kinds as message_kinds
 import zinctrail.transport.twisted_types as twisted_types
 
-# Frames that wait for a connection. A peer that does not read must not fill our memory.
+# How many frames to one peer are queued until its connection is open. An unreachable peer must not fill our memory.
 MAX_WAITING_FRAMES = 1000
-# How many encoded frames are kept to be sent to others, of any kind and of chunks of state.
-RECENT_FRAMES_KEPT = 4
-RECENT_CHUNKS_KEPT = 64
+# How many encoded frames are cached for sending to further peers: frames with chunks of state, and all others.
+MAX_RECENT_FRAMES = 4
+MAX_RECENT_CHUNKS = 64
 # The kind of frame that carries a chunk of state.
 CHUNK_KIND = 'piece'
-# Smaller frames are not compressed: what is saved would not pay for the work.
+# Smaller frames are not compressed: the bytes saved would not justify the processor time.
 PACK_FROM = 1024
-# The first byte of a compressed frame, and of a part of a compressed stream. No JSON object begins like either.
+# The first byte of a packed frame, and of a streamed frame. No JSON object begins with either.
 PACKED = b'x'
 STREAMED = b'z'
-# The lowest wire level whose processes read streamed frames.
+# The lowest wire level at which a process can read streamed frames.
 STREAM_LEVEL = 2
-# A process keeps one stream for each peer, so the window is small; what repeats in frames, the envelope, is short.
+# A process has one stream per peer, so the window is small; it suffices for the envelope, the part of frames that
+# repeats, which is short.
 WINDOW_BITS, MEMORY_LEVEL = 13, 6
 COMPRESSION_LEVEL = 1
-# The last bytes of every part of a stream that is flushed; they are not sent.
-FLUSHED = b'\x00\x00\xff\xff'
-# How long a peer may acknowledge nothing. One behind a partition does not answer, and TCP alone would wait minutes.
-SILENT_MS = 1200
+# The bytes with which zlib ends every flushed block; they are not sent, and the receiver appends them again.
+FLUSH_TRAILER = b'\x00\x00\xff\xff'
+# How long a peer may leave sent bytes unacknowledged. One behind a partition does not respond, and TCP's default
+# timeout is minutes.
+DEAD_PEER_TIMEOUT_MS = 1200
 KEEPALIVE_S = 1
 KEEPALIVE_PROBES = 2
 CONNECT_TIMEOUT_S = 1
-# How many peers' wire levels are remembered: strangers must not be able to fill memory.
+# How many peers' wire levels are stored: unknown senders must not be able to fill memory.
 MAX_WIRE_LEVELS = 10000
-# A frame, whether it may be packed, and its bytes.
+# (frame, whether it may be compressed, its encoded bytes).
 EncodedFrame = tuple[dict, bool, bytes]
 
 
-def limit_silence(transport: typing.Any, silent_ms: int) -> None:
-    """Make TCP give up on a peer that acknowledges nothing for this long."""
+def set_dead_peer_timeout(transport: typing.Any, timeout_ms: int) -> None:
+    """Make TCP close the connection if the peer acknowledges nothing for `timeout_ms`; also enable keepalives."""
     sock = transport.getHandle()
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silent_ms)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
@@ -61,58 +63,58 @@
 
 
 def unpack(data: bytes, max_bytes: int) -> bytes:
-    """The JSON of a packed frame; ValueError if it is damaged, or larger than a frame may be."""
+    """Return the JSON of a packed frame; raises ValueError if it is damaged, or larger than `max_bytes`."""
     decompressor = zlib.decompressobj()
     try:
         out = decompressor.decompress(data, max_bytes + 1)
     except zlib.error as error:
         raise ValueError(str(error)) from error
-    # A few compressed bytes may stand for more than memory holds.
+    # A few compressed bytes may expand to more than fits into memory.
     if len(out) > max_bytes or not decompressor.eof or decompressor.unused_data:
-        raise ValueError('not whole, or above the bound')
+        raise ValueError(f'packed frame is incomplete, has trailing bytes, or is larger than {max_bytes} bytes')
     return out
 
 
 class InboundConnection(basic.NetstringReceiver):
-    """A connection that a peer opened, over which it sends frames."""
+    """A connection that a peer opened and sends frames over."""
 
-    # Twisted declares a type without the methods of TCP.
+    # The type that Twisted declares lacks the methods of TCP.
     transport: typing.Any
 
     def __init__(self, connections: 'PeerConnections') -> None:
         self.connections = connections
         self.MAX_LENGTH = connections.max_frame_bytes
-        # The peer's address, as its first frame tells it.
+        # The peer's address, which its first frame contains.
         self.addr: str | None = None
-        # When it was opened, by the reactor.
+        # The reactor's time at which the connection was opened.
         self.opened_at = 0.0
-        # Whether an older connection from its address was still open when it spoke.
+        # True if an older connection from the same address was still open when the first frame arrived.
         self.replaced_another = False
-        # The decompressor of its stream, from the first streamed frame on.
+        # The decompressor of the stream, created with the first streamed frame.
         self.stream: typing.Any = None
 
     def next_of_stream(self, data: bytes) -> bytes:
-        """The JSON of the next frame of this connection's stream; ValueError if it is damaged or too large."""
+        """Return the JSON of the stream's next frame; raises ValueError if it is damaged or too large."""
         if self.stream is None:
             self.stream = zlib.decompressobj(-WINDOW_BITS)
         try:
-            out = self.stream.decompress(data[1:] + FLUSHED, self.MAX_LENGTH + 1)
+            out = self.stream.decompress(data[1:] + FLUSH_TRAILER, self.MAX_LENGTH + 1)
         except zlib.error as error:
             raise ValueError(str(error)) from error
-        # A few compressed bytes may stand for more than memory holds.
+        # A few compressed bytes may expand to more than fits into memory.
         if len(out) > self.MAX_LENGTH or self.stream.unconsumed_tail or self.stream.eof:
-            raise ValueError('stream ended, or frame above the bound')
+            raise ValueError(f'compressed stream ended, or a streamed frame is larger than {self.MAX_LENGTH} bytes')
         return out
 
     def connectionMade(self) -> None:
-        """Set the socket's options and register the connection."""
+        """Set the socket options and register the connection."""
         self.transport.setTcpNoDelay(True)
-        limit_silence(self.transport, SILENT_MS)
+        set_dead_peer_timeout(self.transport, DEAD_PEER_TIMEOUT_MS)
         self.connections.inbound.add(self)
         self.opened_at = self.connections.reactor.seconds()
 
     def stringReceived(self, data: bytes) -> None:
-        """Decode a frame and hand it on; a connection with an unreadable frame is closed."""
+        """Decode a frame and pass it on; a connection with an undecodable frame is closed."""
         connections = self.connections
         connections.received_bytes += len(data)
         try:
@@ -122,31 +124,33 @@
                 data = self.next_of_stream(data)
             frame = json.loads(data)
             if not isinstance(frame, dict):
-                raise ValueError('not an object')
+                raise ValueError('not a JSON object')
         except (ValueError, RecursionError) as error:
-            # The frame boundaries after this one can't be trusted either.
-            logging.warning('peers: frame from %s can not be read: %s.', self.transport.getPeer(), error)
+            # The boundaries of the frames after this one can't be trusted either.
+            logging.warning(
+                'peers: closing connection from %s: undecodable frame: %s.', self.transport.getPeer(), error
+            )
             self.transport.loseConnection()
             return
         if isinstance(frame.get('a'), str):
             if self.addr is None:
                 self.addr = frame['a']
                 connections.identified(self)
-            connections.note_level(self.addr, frame.get('v'))
-        # Unknown kinds are counted together, so that strangers can't fill memory with names.
+            connections.record_wire_level(self.addr, frame.get('v'))
+        # Unknown kinds are counted together, so that unknown senders can't fill memory with names.
         kind = frame.get('t')
         connections.received_by_kind[kind if isinstance(kind, str) and kind in message_kinds.MESSAGES else '?'] += 1
         connections.on_frame(frame)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.connections.inbound.discard(self)
         if self.addr is not None:
             self.connections.inbound_closed(self)
 
 
 class InboundFactory(protocol.ServerFactory):
-    """Makes the protocols of connections that peers open."""
+    """Creates the protocols of connections that peers open."""
 
     noisy = False
 
@@ -154,12 +158,12 @@
         self.connections = connections
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> InboundConnection:
-        """The protocol of a new connection."""
+        """Return the protocol of a new connection."""
         return InboundConnection(self.connections)
 
 
 class OutboundFactory(protocol.ReconnectingClientFactory):
-    """Opens the connection to one peer and holds the frames that wait for it."""
+    """Opens the connection to one peer, and queues frames until it is open."""
 
     noisy = False
 
@@ -167,69 +171,70 @@
         self.connections = connections
         self.addr = addr
         self.created_at = connections.reactor.seconds()
-        # Encoded frames that wait for the connection.
+        # Encoded frames, queued until the connection is open.
         self.waiting: collections.deque[bytes] = collections.deque()
         self.connection: OutboundConnection | None = None
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> 'OutboundConnection':
-        """The protocol of the new connection."""
+        """Create and return the protocol of the new connection."""
         self.connection = OutboundConnection(self)
         return self.connection
 
     def clientConnectionFailed(self, connector: typing.Any, reason: failure.Failure) -> None:
-        """Report that the peer can't be reached; no reconnection is tried."""
+        """Report the peer as unreachable; no reconnection is tried."""
         self.connections.outbound_closed(self)
 
     def clientConnectionLost(self, connector: typing.Any, reason: failure.Failure) -> None:
-        """Report that the peer is lost; no reconnection is tried."""
+        """Report the peer as lost; no reconnection is tried."""
         self.connections.outbound_closed(self)
 
 
 class OutboundConnection(basic.NetstringReceiver):
-    """A connection that we opened, over which we send frames."""
+    """A connection that this process opened and sends frames over."""
 
-    # Twisted declares types without the methods of TCP, and without the fields of our factory.
+    # The types that Twisted declares lack the methods of TCP and the fields of our factory.
     transport: typing.Any
     factory: typing.Any
 
     def __init__(self, factory: OutboundFactory) -> None:
         self.factory = factory
-        # The compressor of its stream, from the first streamed frame on.
+        # The compressor of the stream, created with the first streamed frame.
         self.stream: typing.Any = None
 
     def connectionMade(self) -> None:
-        """Set the socket's options and send the frames that waited."""
+        """Set the socket options and send the queued frames."""
         self.transport.setTcpNoDelay(True)
-        limit_silence(self.transport, SILENT_MS)
+        set_dead_peer_timeout(self.transport, DEAD_PEER_TIMEOUT_MS)
         waiting = self.factory.waiting
         while waiting:
             self.put(waiting.popleft())
 
     def put(self, data: bytes) -> None:
-        """Send an encoded frame, as a part of the stream where the peer reads streams.
+        """Send an encoded frame, as part of the compressed stream if the peer can read streams.
 
-        It is added to the stream only now, not while it waits: a stream holds
-        exactly what its connection carries. One stream serves the whole
-        connection because most of a frame repeats the frame before it; packed
-        frames stay out of it, since they were compressed once for many peers.
+        A frame is compressed only when it is sent, not while it is queued: the
+        stream must contain exactly what its connection carries. One stream
+        serves the whole connection because most of a frame repeats the frame
+        before it. Packed frames are not added to the stream, since they were
+        compressed once for many peers.
         """
         connections = self.factory.connections
         if data[:1] != PACKED and connections.wire_levels.get(self.factory.addr, 0) >= STREAM_LEVEL:
             if self.stream is None:
                 self.stream = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
-            data = STREAMED + (self.stream.compress(data) + self.stream.flush(zlib.Z_SYNC_FLUSH))[: -len(FLUSHED)]
+            data = STREAMED + (self.stream.compress(data) + self.stream.flush(zlib.Z_SYNC_FLUSH))[: -len(FLUSH_TRAILER)]
         connections.wire_bytes += len(data)
         self.sendString(data)
 
     def stringReceived(self, data: bytes) -> None:
-        """Close the connection: the other side of it sends nothing."""
+        """Close the connection: the peer must not send anything over it."""
         self.transport.loseConnection()
 
 
 class PeerConnections:
     """All connections between this process and its peers.
 
-    :param on_frame: called with every frame received.
+    :param on_frame: called with every received frame.
     :param on_lost: called with the address of a peer whose connection was lost.
     """
 
@@ -244,21 +249,22 @@
         self.max_frame_bytes = max_frame_bytes
         self.on_frame = on_frame
         self.on_lost = on_lost
-        # Connections that we opened, by address, and those that peers opened.
+        # {address: a connection that this process opened}, and the connections that peers opened.
         self.outbound: dict[str, OutboundFactory] = {}
         self.inbound: set[InboundConnection] = set()
         # The newest inbound connection of each address.
         self.newest_inbound: dict[str, InboundConnection] = {}
         self.is_closing = False
-        # The frames encoded last. Each entry keeps its message alive, so that no other object can get its identity.
-        self.recent_frames: collections.deque[EncodedFrame] = collections.deque(maxlen=RECENT_FRAMES_KEPT)
-        # The same for chunks of state: members that catch up at the same time are at different chunks.
-        self.recent_chunks: collections.deque[EncodedFrame] = collections.deque(maxlen=RECENT_CHUNKS_KEPT)
+        # The most recently encoded frames, found by object identity. Each entry references its frame, so that no other
+        # object can get the same identity.
+        self.recent_frames: collections.deque[EncodedFrame] = collections.deque(maxlen=MAX_RECENT_FRAMES)
+        # The same for chunks of state: members that catch up at the same time receive different chunks.
+        self.recent_chunks: collections.deque[EncodedFrame] = collections.deque(maxlen=MAX_RECENT_CHUNKS)
         self.sent_frames = 0
         self.sent_bytes = 0
-        # Bytes of those frames after the streams compressed them.
+        # Bytes of the sent frames after stream compression.
         self.wire_bytes = 0
-        # The wire levels of peers that sent us something.
+        # {address: the wire level in the last frame of that peer}.
         self.wire_levels: dict[str, int] = {}
         self.sent_bytes_by_kind: collections.Counter[str] = collections.Counter()
         self.sent_by_kind: collections.Counter[str] = collections.Counter()
@@ -266,15 +272,15 @@
         self.received_bytes = 0
 
     def listen(self, addr: str) -> interfaces.IListeningPort:
-        """Accept connections of peers, and return the listening port."""
+        """Listen for connections of peers, and return the listening port."""
         host, port = split_address(addr)
         return self.reactor.listenTCP(port, InboundFactory(self), interface=host)
 
     def encoded(self, frame: dict, packs: bool) -> bytes:
-        """The bytes of a frame, kept for a while because a publication goes to many peers."""
+        """Return the bytes of a frame, cached for a short time because a publication is sent to many peers."""
         recent = self.recent_chunks if frame.get('t') == CHUNK_KIND else self.recent_frames
-        for kept, packed, data in recent:
-            if kept is frame and packed == packs:
+        for cached, packed, data in recent:
+            if cached is frame and packed == packs:
                 return data
         data = json.dumps(frame, separators=(',', ':')).encode()
         if packs and PACK_FROM < len(data) <= self.max_frame_bytes:
@@ -283,14 +289,14 @@
         return data
 
     def send(self, addr: str, frame: dict, packs: bool = False) -> None:
-        """Send a frame to a peer, over a new connection where none is open.
+        """Send a frame to a peer, over a new connection if none is open.
 
-        A frame above the limit is logged as an error, because it must not vanish silently.
+        A frame above the size limit is not sent, and logged as an error, because it must not vanish silently.
         """
         data = self.encoded(frame, packs)
         if len(data) > self.max_frame_bytes:
             logging.error(
-                'peers: frame %s of %d bytes is above the limit of %d, not sent.',
+                'peers: frame of kind %s not sent: its %d bytes are above the limit of %d.',
                 frame.get('t'),
                 len(data),
                 self.max_frame_bytes,
@@ -316,20 +322,20 @@
         self.reactor.connectTCP(host, port, peer, timeout=CONNECT_TIMEOUT_S)
         return peer
 
-    def note_level(self, addr: str, level: typing.Any) -> None:
-        """Remember the wire level that a peer's frame tells."""
+    def record_wire_level(self, addr: str, level: typing.Any) -> None:
+        """Store the wire level that a peer's frame contains."""
         if self.wire_levels.get(addr) != level and isinstance(level, int):
             if len(self.wire_levels) > MAX_WIRE_LEVELS:
                 self.wire_levels.clear()
             self.wire_levels[addr] = level
 
     def outbound_closed(self, peer: OutboundFactory) -> None:
-        """Forget a connection that we opened, and report its peer as lost unless a newer process is there."""
+        """Remove an outbound connection, and report its peer as lost unless a newer process listens at its address."""
         if self.outbound.get(peer.addr) is peer:
             del self.outbound[peer.addr]
-        # Whoever listens there next may run an older program.
+        # The next process at this address may run an older release.
         self.wire_levels.pop(peer.addr, None)
-        # A connection to the process that was there before says nothing about the one that is there now.
+        # The loss of a connection to an earlier process at this address does not concern the process there now.
         newest = self.newest_inbound.get(peer.addr)
         is_stale = (
             newest is not None
@@ -340,15 +346,15 @@
             self.on_lost(peer.addr)
 
     def identified(self, connection: InboundConnection) -> None:
-        """The first frame of an inbound connection has told its peer's address."""
+        """Register an inbound connection under its peer's address, which its first frame contained."""
         assert connection.addr is not None
         connection.replaced_another = connection.addr in self.newest_inbound
         self.newest_inbound[connection.addr] = connection
 
     def inbound_closed(self, connection: InboundConnection) -> None:
-        """Report a peer as lost whose newest connection to us has closed.
+        """Report a peer as lost if its newest connection to this process has closed.
 
-        Older ones don't count: TCP may notice their end seconds after the next process there has connected.
+        Older connections are ignored: TCP may detect their end seconds after the next process there has connected.
         """
         assert connection.addr is not None
         if self.newest_inbound.get(connection.addr) is connection:
@@ -367,6 +373,6 @@
 
 
 def split_address(addr: str) -> tuple[str, int]:
-    """The host and the port of an IP:PORT."""
+    """Return the host and the port of an IP:PORT."""
     host, _, port = addr.rpartition(':')
     return host, int(port)
--- a/zinctrail/transport/response_body.py
+++ b/zinctrail/transport/response_body.py
@@ -1,4 +1,4 @@
-"""Reading the body of an HTTP response to its end, up to a limit."""
+"""Reads the body of an HTTP response to its end, up to a limit."""
 
 import typing
 
@@ -9,9 +9,9 @@
 
 
 class ResponseBody(protocol.Protocol):
-    """Collects a body and calls back with `(body, error)`; the error is empty only if the body is complete."""
+    """Collects a body, and fires `done` with `(body, error)`; the error is empty only if the body is complete."""
 
-    # Given by the response before any byte of its body. Twisted declares a type that can not abort.
+    # Set by the response before any byte of its body. The type that Twisted declares has no abortConnection.
     transport: typing.Any
 
     def __init__(self, done: defer.Deferred[tuple[bytes, str]], max_bytes: int):
@@ -21,7 +21,7 @@
         self.size = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep a chunk, or abort the connection once the body is above its limit."""
+        """Buffer a chunk, or abort the connection once the body is above its limit."""
         self.size += len(data)
         if self.size > self.max_bytes:
             self.transport.abortConnection()
@@ -29,7 +29,7 @@
             self.chunks.append(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Report what was received, and whether it is complete."""
+        """Fire `done` with the received body and its error, if any."""
         if self.size > self.max_bytes:
             self.done.callback((b'', 'reply above the bound'))
         elif reason.check(client.ResponseDone):
--- a/zinctrail/transport/twisted_types.py
+++ b/zinctrail/transport/twisted_types.py
@@ -1,4 +1,4 @@
-"""Types for what Twisted leaves untyped."""
+"""Type aliases for Twisted objects that Twisted leaves untyped."""
 
 import typing
 
@@ -6,8 +6,8 @@
 
 Result = typing.TypeVar('Result')
 
-# A reactor, or a clock that stands in for one. Twisted's interfaces can not be combined into one type.
+# A reactor, or a simulated clock in its place. Twisted's interfaces can not be combined into one type.
 Reactor: typing.TypeAlias = typing.Any
 
-# What a function under `defer.inlineCallbacks` returns before it is decorated.
+# The return type of a generator function that `defer.inlineCallbacks` decorates.
 Steps: typing.TypeAlias = typing.Generator[defer.Deferred[typing.Any], typing.Any, Result]
--- a/zinctrail/transport/web.py
+++ b/zinctrail/transport/web.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a process: API calls are handed to its state machine, by twisted.web."""
+"""The HTTP server of a process, built on twisted.web: API calls are fed to its state machine."""
 
 import typing
 
@@ -15,15 +15,16 @@
 if typing.TYPE_CHECKING:
     import zinctrail.transport.host as transport_host
 
-# How long a kept connection may lie idle. No client may hold one open for ever, and proxies reuse theirs.
+# The idle timeout of a persistent connection. No client may hold one open for ever, but proxies must be able to reuse
+# theirs.
 IDLE_S = 60
 METRICS_PATH = b'/v1/metrics'
-# Puts a response of the state machine into the dialect of its caller.
+# Translates a response of the state machine into the dialect of its caller.
 Translate = typing.Callable[[effects.HttpResponse], effects.HttpResponse]
 
 
 class BoundedRequest(early_refusal.EarlyRefusal, server.Request):
-    """Counts a body while it arrives, so that it is limited before it is buffered."""
+    """A request whose body is counted while it arrives, so that it is limited before it is buffered."""
 
 
 class PendingCall(typing.NamedTuple):
@@ -35,7 +36,7 @@
 
 
 class ApiResource(resource.Resource):
-    """Hands every API call to the state machine as one input, and sends the response that it returns."""
+    """Feeds every API call to the state machine as one input, and sends the response that it returns."""
 
     isLeaf = True
 
@@ -43,11 +44,11 @@
         super().__init__()
         self.host = host
         self.last_call_id = 0
-        # {call id: the call}.
+        # {call id: a call whose response is outstanding}.
         self.pending: dict[int, PendingCall] = {}
 
     def render(self, request: BoundedRequest) -> bytes | int:
-        """Refuse a body above the limit, serve the metrics page, or hand the call to the state machine."""
+        """Refuse a body above the limit, serve the metrics page, or feed the call to the state machine."""
         if request.received_bytes > request.body_limit_bytes:
             request.setResponseCode(413)
             request.setHeader('content-type', 'application/json')
@@ -61,7 +62,7 @@
         return server.NOT_DONE_YET
 
     def submit(self, request: server.Request, call: effects.HttpRequest, translate: Translate | None = None) -> None:
-        """Feed a call to the state machine; its response goes to the request, through `translate` if given."""
+        """Feed a call to the state machine; its response is sent as `translate` returns it, or unchanged without one."""
         self.last_call_id += 1
         call_id = self.last_call_id
         self.pending[call_id] = PendingCall(request, translate)
@@ -69,7 +70,7 @@
         self.host.feed('http', call_id, call)
 
     def disconnected(self, reason: failure.Failure, call_id: int) -> None:
-        """The caller has closed its connection before the response."""
+        """Notify the state machine that a caller disconnected before it got its response."""
         if self.pending.pop(call_id, None) is not None:
             self.host.feed('hung_up', call_id)
 
@@ -84,7 +85,7 @@
 
 
 class DialectResource(resource.Resource):
-    """The API on another address, where callers speak the host's dialect."""
+    """The API on an address where callers use the host's dialect."""
 
     isLeaf = True
 
@@ -94,7 +95,7 @@
         self.addr = addr
 
     def render(self, request: BoundedRequest) -> bytes | int:
-        """Translate the call and hand it to the state machine, or send the dialect's own response."""
+        """Translate the call and feed it to the state machine, or send the response that the dialect returned."""
         dialect = self.host.dialect
         if request.received_bytes > request.body_limit_bytes:
             write_response(request, 413, {}, b'')
@@ -109,7 +110,7 @@
 
 
 def http_request_of(request: server.Request) -> effects.HttpRequest:
-    """A request of twisted.web in the form that state machines take."""
+    """Convert a twisted.web request to the effects.HttpRequest that state machines take."""
     headers = {
         name.decode('latin-1').lower(): b','.join(values).decode('latin-1')
         for name, values in request.requestHeaders.getAllRawHeaders()
@@ -141,7 +142,7 @@
 
 
 def make_site(root: resource.Resource, body_limit_bytes: int, reactor: twisted_types.Reactor) -> server.Site:
-    """A listener's factory that serves `root` and limits the bodies of its requests."""
+    """Return a listener's factory that serves `root` and limits the bodies of its requests."""
     site = QuietSite(root, reactor=reactor, timeout=IDLE_S)
     bounded = type('Bounded', (BoundedRequest,), {'body_limit_bytes': body_limit_bytes})
     site.requestFactory = typing.cast(type[server.Request], bounded)
