--- a/features/steps/platform_settings_steps.py
+++ b/features/steps/platform_settings_steps.py
@@ -56,7 +56,7 @@
     try:
         context.lines = settings.flags(doc)
     except settings.SettingsFileError as e:
-        context.faults = e.faults
+        context.faults = e.errors
 
 
 @behave.then('the flag {flag} is {value}')
