--- a/zinctrail/fleet/deployments.py
+++ b/zinctrail/fleet/deployments.py
@@ -77,7 +77,7 @@
 }
 
 
-def cells_of(shape: Shape) -> list[str]:
+def zones_of(shape: Shape) -> list[str]:
     """Return the names of a deployment's zones; neighbours in the list are in different regions."""
     return [f'r{region}/c{zone}' for zone in range(shape['cells']) for region in range(shape['regions'])]
 
@@ -96,6 +96,6 @@
             }
             for service in shape['services']
         },
-        'cells': {zone: {'region': zone.split('/')[0]} for zone in cells_of(shape)},
+        'cells': {zone: {'region': zone.split('/')[0]} for zone in zones_of(shape)},
         'labels': {},
     }
--- a/zinctrail/fleet/processes.py
+++ b/zinctrail/fleet/processes.py
@@ -194,7 +194,7 @@
         self.is_stopping = False
         # {name: process}.
         self.processes: dict[str, FleetProcess] = {}
-        zones = deployments.cells_of(shape)
+        zones = deployments.zones_of(shape)
         for role, size in SHAPE_KEYS.items():
             for index in range(shape[size]):
                 name = f'{role}{index}'
@@ -348,7 +348,7 @@
 
     def start_endpoints(self, rng: random.Random, work_s: tuple[float, float] = WORK_S) -> None:
         """Start the endpoints of all services; `work_s` is the range of processing times in seconds."""
-        zones = deployments.cells_of(self.shape)
+        zones = deployments.zones_of(self.shape)
         for service, count in self.shape['services'].items():
             for index in range(count):
                 self.start_endpoint(service, zones[index % len(zones)], rng, work_s)
@@ -382,7 +382,7 @@
 
     def start_callers(self, rng: random.Random) -> task.LoopingCall:
         """Start a loop that sends requests from every zone at the rate of the shape, and return the loop."""
-        for index, zone in enumerate(deployments.cells_of(self.shape)):
+        for index, zone in enumerate(deployments.zones_of(self.shape)):
             directories = [process.http for process in self.of('dir')]
             first = index % len(directories)
             rotated = directories[first:] + directories[:first]
--- a/zinctrail/fleet/recorded_day.py
+++ b/zinctrail/fleet/recorded_day.py
@@ -207,7 +207,7 @@
     def __init__(self, shape_name: str, seed: int, seconds: float):
         self.shape = deployments.PRESETS[shape_name]
         self.rng = random.Random(f'{shape_name}/{seed}')
-        self.zones, self.services = deployments.cells_of(self.shape), sorted(self.shape['services'])
+        self.zones, self.services = deployments.zones_of(self.shape), sorted(self.shape['services'])
         self.seconds = seconds
         self.end_ms = 1000.0 * seconds
         self.events: list[dict] = []
--- a/zinctrail/simulation/actors/deployment.py
+++ b/zinctrail/simulation/actors/deployment.py
@@ -31,7 +31,7 @@
         self.shape = shape
         self.plain = plain
         self.notes = actor_notes.Notes()
-        self.cells = deployments.cells_of(shape)
+        self.cells = deployments.zones_of(shape)
         self.endpoints: list[endpoint_actor.Endpoint] = []
         self.callers: list[caller_actor.Caller] = []
         self.applications: list[application_actor.Application] = []
--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -41,7 +41,7 @@
         self.seed, self.how = seed, how
         self.rng = random.Random(f'boot/{seed}')
         self.world = simulated_world.World(seed)
-        cells = deployments.cells_of(shape)
+        cells = deployments.zones_of(shape)
         for role, count in (('core', shape['cores']), ('dir', shape['dirs']), ('prox', shape['proxies'])):
             for number in range(count):
                 self.world.add(f'{role}{number}', role, cells[number % len(cells)])
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -51,7 +51,7 @@
         self.world = world
         self.shape = shape
         self.notes = world.notes
-        self.cells = deployments.cells_of(shape)
+        self.cells = deployments.zones_of(shape)
         self.endpoints: list[open_endpoint.Endpoint] = []
         self.clients: list[open_client.Client] = []
         self.applications: list[open_application.Application] = []
