--- a/zinctrail/client/coordination.py
+++ b/zinctrail/client/coordination.py
@@ -71,7 +71,7 @@
         body: Document | None,
         timeout: datetime.timedelta = DEFAULT_TIMEOUT,
         attempt_timeout: datetime.timedelta = ATTEMPT_TIMEOUT,
-    ) -> twisted_types.Steps[tuple[datetime.timedelta, Document]]:
+    ) -> twisted_types.DeferredGenerator[tuple[datetime.timedelta, Document]]:
         """Make a call that may be retried: (when the attempt that succeeded was sent, its JSON result)."""
         deadline = self.now() + timeout
         status: int = 0
@@ -100,7 +100,7 @@
         raise errors.CoordinationError(status, document)
 
     @defer.inlineCallbacks
-    def new_id(self, timeout: datetime.timedelta) -> twisted_types.Steps[str]:
+    def new_id(self, timeout: datetime.timedelta) -> twisted_types.DeferredGenerator[str]:
         """An id for a call: EPOCH.RANDOM, where the epoch says until when its result is remembered."""
         _, document = yield self.call('GET', '/v1/epoch', None, timeout)
         return f'{document["epoch"]}.{self.rng.getrandbits(ID_BITS):024x}'
@@ -108,7 +108,7 @@
     @defer.inlineCallbacks
     def call_once(
         self, path: str, body: Document, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[Document]:
+    ) -> twisted_types.DeferredGenerator[Document]:
         """Make a call that acts, under a new id: its retries act once in all. Returns its JSON result."""
         deadline = self.now() + timeout
         call_id = yield self.new_id(timeout)
@@ -118,13 +118,13 @@
     @defer.inlineCallbacks
     def next_number(
         self, name: str, increment: int = 1, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Raise a counter and return its number, above all that were returned before."""
         document = yield self.call_once('/v1/number/next', {'name': name, 'by': increment}, timeout)
         return document['number']
 
     @defer.inlineCallbacks
-    def get(self, key: str, timeout: datetime.timedelta = DEFAULT_TIMEOUT) -> twisted_types.Steps[Document]:
+    def get(self, key: str, timeout: datetime.timedelta = DEFAULT_TIMEOUT) -> twisted_types.DeferredGenerator[Document]:
         """{value, rev, head}: a key's value and revision, None and 0 where it is absent; `head` is where to watch from."""
         try:
             _, document = yield self.call('POST', '/v1/key/get', {'key': key}, timeout)
@@ -137,7 +137,7 @@
     @defer.inlineCallbacks
     def put(
         self, key: str, value: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Write a key and return its new revision; with `revision`, only if it is at that one (0: absent)."""
         body: Document = {'key': key, 'value': value}
         if revision is not None:
@@ -148,7 +148,7 @@
     @defer.inlineCallbacks
     def remove(
         self, key: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Remove a key and return the removal's revision; with `revision`, only if it is at that one."""
         body: Document = {'key': key} if revision is None else {'key': key, 'rev': revision}
         document = yield self.call_once('/v1/key/drop', body, timeout)
@@ -157,7 +157,7 @@
     @defer.inlineCallbacks
     def watch(
         self, prefix: str, since: int, wait: datetime.timedelta = durations.ms(5000)
-    ) -> twisted_types.Steps[Document]:
+    ) -> twisted_types.DeferredGenerator[Document]:
         """The events after revision `since`, {events, head}; waits while there are none. Continue from `head`.
 
         Status 410 of the error says that the history no longer reaches back that far.
@@ -191,7 +191,7 @@
         return self.expires_at is not None and self.client.now() < self.expires_at
 
     @defer.inlineCallbacks
-    def acquire(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.Steps[bool]:
+    def acquire(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.DeferredGenerator[bool]:
         """True if the lock is held now (also renews it); False while another owner holds it."""
         body = {
             'name': self.name,
@@ -212,7 +212,7 @@
         return self.is_held()
 
     @defer.inlineCallbacks
-    def release(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.Steps[None]:
+    def release(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.DeferredGenerator[None]:
         """Give the lock up."""
         # Before the call: from the moment it is sent, another owner may hold the lock.
         self.expires_at = self.fencing_token = None
--- a/zinctrail/client/endpoint.py
+++ b/zinctrail/client/endpoint.py
@@ -72,7 +72,7 @@
         self.heartbeats.start(self.heartbeat_interval.total_seconds())
 
     @defer.inlineCallbacks
-    def send_heartbeat(self) -> twisted_types.Steps[None]:
+    def send_heartbeat(self) -> twisted_types.DeferredGenerator[None]:
         """Report the present state to the first directory that takes it."""
         body = json.dumps(self.admission.heartbeat()).encode()
         for _ in range(len(self.directories)):
@@ -114,7 +114,7 @@
         return self._stop_listening()
 
     @defer.inlineCallbacks
-    def shut_down(self) -> twisted_types.Steps[None]:
+    def shut_down(self) -> twisted_types.DeferredGenerator[None]:
         """Shut down gracefully: drain, wait for what runs, report that it leaves, stop listening."""
         yield self.set_state('draining')
         while self.admission.running:
--- a/zinctrail/client/request_client.py
+++ b/zinctrail/client/request_client.py
@@ -109,7 +109,7 @@
         return datetime.timedelta(seconds=self.clock())
 
     @defer.inlineCallbacks
-    def lookup(self, timeout: datetime.timedelta) -> twisted_types.Steps[StandingAnswer | None]:
+    def lookup(self, timeout: datetime.timedelta) -> twisted_types.DeferredGenerator[StandingAnswer | None]:
         """The directory's answer: proxies and the present epoch; looked up again once invalid, None if nobody answers.
 
         `timeout` is for each directory.
@@ -155,7 +155,7 @@
         labels: dict[str, str] | None = None,
         timeout: datetime.timedelta = durations.ms(5000),
         request_id: str | None = None,
-    ) -> twisted_types.Steps[Response]:
+    ) -> twisted_types.DeferredGenerator[Response]:
         """Send one request, and retry where that is safe; the Response says what became of it."""
         request = Request(service, path, method, body, labels, self.now() + timeout)
         response = Response(NOT_RUN, 0, {}, b'', fault='no standing answer')
@@ -186,7 +186,7 @@
     @defer.inlineCallbacks
     def _attempt(
         self, found: StandingAnswer, request: Request, request_id: str, attempt: int
-    ) -> twisted_types.Steps[Response]:
+    ) -> twisted_types.DeferredGenerator[Response]:
         """One attempt, through the next of the proxies that the directory named."""
         self.sent_count += 1
         proxy = found['proxies'][self.sent_count % len(found['proxies'])]
--- a/zinctrail/transport/http_client.py
+++ b/zinctrail/transport/http_client.py
@@ -85,7 +85,7 @@
         self.incarnation = incarnation.encode()
 
     @defer.inlineCallbacks
-    def getConnection(self, key: typing.Any, endpoint: typing.Any) -> twisted_types.Steps[typing.Any]:
+    def getConnection(self, key: typing.Any, endpoint: typing.Any) -> twisted_types.DeferredGenerator[typing.Any]:
         """Return a verified connection; fails with IncarnationError if there is none."""
         for _ in range(MAX_VERIFICATIONS):
             connection = yield super().getConnection(key, endpoint)
@@ -99,7 +99,7 @@
         raise IncarnationError('no verified connection stayed open')
 
     @defer.inlineCallbacks
-    def _verify(self, connection: typing.Any, key: typing.Any) -> twisted_types.Steps[None]:
+    def _verify(self, connection: typing.Any, key: typing.Any) -> twisted_types.DeferredGenerator[None]:
         headers = http_headers.Headers({b'host': [b'%s:%d' % key[1:]], b'zt-inc': [self.incarnation]})
         live_request = client.Request(b'GET', LIVE_PATH.encode(), headers, None, persistent=True)
         try:
--- a/zinctrail/transport/twisted_types.py
+++ b/zinctrail/transport/twisted_types.py
@@ -10,4 +10,4 @@
 Reactor: typing.TypeAlias = typing.Any
 
 # The return type of a generator function that `defer.inlineCallbacks` decorates.
-Steps: typing.TypeAlias = typing.Generator[defer.Deferred[typing.Any], typing.Any, Result]
+DeferredGenerator: typing.TypeAlias = typing.Generator[defer.Deferred[typing.Any], typing.Any, Result]
