--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -66,7 +66,7 @@
     frame = next(send.frame for send in context.publications if 'rows' in send.frame)
     first = connections.encoded(frame, True)
     assert connections.encoded(frame, True) is first
-    assert first[:1] == peer_connections.PACKED and len(first) < 1000
+    assert first[:1] == peer_connections.COMPRESSED and len(first) < 1000
     assert json.loads(peer_connections.unpack(first, FRAME_LIMIT_BYTES)) == json.loads(json.dumps(frame))
     assert connections.encoded(frame, False)[:1] == b'{'
 
--- a/zinctrail/simulation/scale/process.py
+++ b/zinctrail/simulation/scale/process.py
@@ -64,7 +64,7 @@
 
     def decode(self, data: bytes) -> dict:
         """The frame of its encoded form, packed or not."""
-        if data[:1] == peer_connections.PACKED:
+        if data[:1] == peer_connections.COMPRESSED:
             data = peer_connections.unpack(data, self.rig.settings.frame_most)
         return json.loads(data)
 
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -2,7 +2,7 @@
 
 A process opens one connection to each peer that it sends to; frames are sent
 only by the side that opened it. A frame is plain JSON, separately compressed
-JSON (`PACKED`), or part of the connection's compressed stream (`STREAMED`).
+JSON (`COMPRESSED`), or part of the connection's compressed stream (`STREAMED`).
 """
 
 import collections
@@ -30,7 +30,7 @@
 # Smaller frames are not compressed: the bytes saved would not justify the processor time.
 PACK_FROM = 1024
 # The first byte of a packed frame, and of a streamed frame. No JSON object begins with either.
-PACKED = b'x'
+COMPRESSED = b'x'
 STREAMED = b'z'
 # The lowest wire level at which a process can read streamed frames.
 STREAM_LEVEL = 2
@@ -118,7 +118,7 @@
         connections = self.connections
         connections.received_bytes += len(data)
         try:
-            if data[:1] == PACKED:
+            if data[:1] == COMPRESSED:
                 data = unpack(data, self.MAX_LENGTH)
             elif data[:1] == STREAMED:
                 data = self.next_of_stream(data)
@@ -219,7 +219,7 @@
         compressed once for many peers.
         """
         connections = self.factory.connections
-        if data[:1] != PACKED and connections.wire_levels.get(self.factory.addr, 0) >= STREAM_LEVEL:
+        if data[:1] != COMPRESSED and connections.wire_levels.get(self.factory.addr, 0) >= STREAM_LEVEL:
             if self.stream is None:
                 self.stream = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
             data = STREAMED + (self.stream.compress(data) + self.stream.flush(zlib.Z_SYNC_FLUSH))[: -len(FLUSH_TRAILER)]
