--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -143,7 +143,7 @@
         bandwidth = self.bandwidths.get((source, target))
         if bandwidth is None:
             return self.now
-        is_compressed = packs and self.compresses and len(text) > peer_connections.PACK_FROM
+        is_compressed = packs and self.compresses and len(text) > peer_connections.COMPRESSION_THRESHOLD_BYTES
         size = len(zlib.compress(text.encode(), 1)) if is_compressed else len(text)
         self.link_bytes[kind] = self.link_bytes.get(kind, 0) + size
         begin = max(self.now, self.link_free_at.get((source, target), durations.ZERO))
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -28,7 +28,7 @@
 # The kind of frame that carries a chunk of state.
 CHUNK_KIND = 'piece'
 # Smaller frames are not compressed: the bytes saved would not justify the processor time.
-PACK_FROM = 1024
+COMPRESSION_THRESHOLD_BYTES = 1024
 # The first byte of a packed frame, and of a streamed frame. No JSON object begins with either.
 COMPRESSED = b'x'
 STREAMED = b'z'
@@ -283,7 +283,7 @@
             if cached is frame and packed == packs:
                 return data
         data = json.dumps(frame, separators=(',', ':')).encode()
-        if packs and PACK_FROM < len(data) <= self.max_frame_bytes:
+        if packs and COMPRESSION_THRESHOLD_BYTES < len(data) <= self.max_frame_bytes:
             data = zlib.compress(data, COMPRESSION_LEVEL)
         recent.append((frame, packs, data))
         return data
