--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -67,7 +67,7 @@
     first = connections.encoded(frame, True)
     assert connections.encoded(frame, True) is first
     assert first[:1] == peer_connections.COMPRESSED and len(first) < 1000
-    assert json.loads(peer_connections.unpack(first, FRAME_LIMIT_BYTES)) == json.loads(json.dumps(frame))
+    assert json.loads(peer_connections.decompress_frame(first, FRAME_LIMIT_BYTES)) == json.loads(json.dumps(frame))
     assert connections.encoded(frame, False)[:1] == b'{'
 
 
--- a/zinctrail/simulation/scale/process.py
+++ b/zinctrail/simulation/scale/process.py
@@ -65,7 +65,7 @@
     def decode(self, data: bytes) -> dict:
         """The frame of its encoded form, packed or not."""
         if data[:1] == peer_connections.COMPRESSED:
-            data = peer_connections.unpack(data, self.rig.settings.frame_most)
+            data = peer_connections.decompress_frame(data, self.rig.settings.frame_most)
         return json.loads(data)
 
     def set_wake_up(self) -> None:
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -62,7 +62,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
-def unpack(data: bytes, max_bytes: int) -> bytes:
+def decompress_frame(data: bytes, max_bytes: int) -> bytes:
     """Return the JSON of a packed frame; raises ValueError if it is damaged, or larger than `max_bytes`."""
     decompressor = zlib.decompressobj()
     try:
@@ -119,7 +119,7 @@
         connections.received_bytes += len(data)
         try:
             if data[:1] == COMPRESSED:
-                data = unpack(data, self.MAX_LENGTH)
+                data = decompress_frame(data, self.MAX_LENGTH)
             elif data[:1] == STREAMED:
                 data = self.next_of_stream(data)
             frame = json.loads(data)
