--- a/zinctrail/cli/commands/waiting.py
+++ b/zinctrail/cli/commands/waiting.py
@@ -42,7 +42,7 @@
     if args[0] == 'drained' and len(args) == 2 and parsing.is_address(args[1]):
         return functools.partial(is_drained, address=args[1])
     if args[0] == 'members' and len(args) == 2 and parsing.is_whole(args[1]):
-        return functools.partial(are_leased, count=int(args[1]))
+        return functools.partial(have_leases, count=int(args[1]))
     raise session.CommandError(session.ExitCode.USAGE, 'wait: must be GENERATION, drained IP:PORT or members N')
 
 
@@ -60,7 +60,7 @@
     return _have_routes(state, state['routes']) and not is_ready
 
 
-def are_leased(state: dict, count: int) -> bool:
+def have_leases(state: dict, count: int) -> bool:
     """True if at least `count` members have a lease."""
     return sum(member['leased'] for member in state['members'].values()) >= count
 
--- a/zinctrail/fleet/processes.py
+++ b/zinctrail/fleet/processes.py
@@ -28,7 +28,7 @@
 HOST = '127.0.0.1'
 
 # The module of zinctrail.cli that runs each role.
-PROGRAMS = {'core': 'controller', 'dir': 'directory', 'prox': 'proxy'}
+PROGRAM_MODULES = {'core': 'controller', 'dir': 'directory', 'prox': 'proxy'}
 # {role: the key of a shape that holds the number of its processes}.
 SHAPE_KEYS: dict[str, typing.Literal['cores', 'dirs', 'proxies']] = {
     'core': 'cores',
@@ -108,10 +108,10 @@
     def start(self) -> None:
         """Start the process; its flags and its log are written to files in the fleet's folder."""
         flag_file = self._write_flags()
-        command = [f'zinctrail.cli.{PROGRAMS[self.role]}']
+        command = [f'zinctrail.cli.{PROGRAM_MODULES[self.role]}']
         if self.fleet.injects_faults:
             self.set_faults()
-            command = ['zinctrail.fleet.wrapped_process', self._faults_file(), PROGRAMS[self.role]]
+            command = ['zinctrail.fleet.wrapped_process', self._faults_file(), PROGRAM_MODULES[self.role]]
         self.fleet.ports.free(self.addr, self.http)
         with open(os.path.join(self.fleet.folder, f'{self.name}.log'), 'a') as log:
             self.child = subprocess.Popen(
@@ -274,7 +274,7 @@
         if name.startswith('end_'):
             self._inject_endpoint_fault(name, duration_s, rng)
             return
-        number = signal_of(name)
+        number = fault_signal(name)
         targets = self._fault_targets(name, rng)
         for process in targets:
             process.signal(number)
@@ -336,11 +336,11 @@
             },
             'endpoints': {
                 address: {
-                    'service': stand_in.admission.service,
-                    'cell': stand_in.admission.zone,
-                    'inc': stand_in.admission.incarnation,
+                    'service': test_endpoint.admission.service,
+                    'cell': test_endpoint.admission.zone,
+                    'inc': test_endpoint.admission.incarnation,
                 }
-                for address, stand_in in self.endpoints.items()
+                for address, test_endpoint in self.endpoints.items()
             },
         }
 
@@ -372,20 +372,22 @@
             self.ran[request_id] += 1
             if service in self.shape['once']:
                 self.ran_once[request_id] += 1
-            reply = json.dumps({'id': request_id, 'service': service, 'endpoint': address, 'path': path}).encode()
-            return task.deferLater(self.reactor, rng.uniform(*work_s), lambda: (200, reply))
+            response_body = json.dumps(
+                {'id': request_id, 'service': service, 'endpoint': address, 'path': path}
+            ).encode()
+            return task.deferLater(self.reactor, rng.uniform(*work_s), lambda: (200, response_body))
 
-        stand_in = endpoint.Endpoint(self.reactor, address, service, zone, SLOTS, handle, directories)
-        self.endpoints[address] = stand_in
-        stand_in.start()
-        return stand_in
+        test_endpoint = endpoint.Endpoint(self.reactor, address, service, zone, SLOTS, handle, directories)
+        self.endpoints[address] = test_endpoint
+        test_endpoint.start()
+        return test_endpoint
 
     def start_callers(self, rng: random.Random) -> task.LoopingCall:
         """Start a loop that sends requests from every zone at the rate of the shape, and return the loop."""
         for index, zone in enumerate(deployments.zones_of(self.shape)):
             directories = [process.http for process in self.of('dir')]
-            first = index % len(directories)
-            rotated = directories[first:] + directories[:first]
+            offset = index % len(directories)
+            rotated = directories[offset:] + directories[:offset]
             self.clients.append(request_client.RequestClient(self.reactor, rotated, zone))
 
         def send_due(count: int) -> None:
@@ -439,7 +441,7 @@
         return {**self.counts, 'ran_ids': len(self.ran), 'ran_twice': twice}
 
 
-def signal_of(fault: str) -> signal.Signals:
+def fault_signal(fault: str) -> signal.Signals:
     """Return the signal that causes a fault of a process."""
     if fault.startswith('kill'):
         return signal.SIGKILL
--- a/zinctrail/transport/peer_connections.py
+++ b/zinctrail/transport/peer_connections.py
@@ -29,7 +29,7 @@
 CHUNK_KIND = 'piece'
 # Smaller frames are not compressed: the bytes saved would not justify the processor time.
 COMPRESSION_THRESHOLD_BYTES = 1024
-# The first byte of a packed frame, and of a streamed frame. No JSON object begins with either.
+# The first byte of a separately compressed frame, and of a streamed frame. No JSON object begins with either.
 COMPRESSED = b'x'
 STREAMED = b'z'
 # The lowest wire level at which a process can read streamed frames.
@@ -63,7 +63,7 @@
 
 
 def decompress_frame(data: bytes, max_bytes: int) -> bytes:
-    """Return the JSON of a packed frame; raises ValueError if it is damaged, or larger than `max_bytes`."""
+    """Return the JSON of a separately compressed frame; raises ValueError if it is damaged, or above `max_bytes`."""
     decompressor = zlib.decompressobj()
     try:
         out = decompressor.decompress(data, max_bytes + 1)
@@ -71,7 +71,7 @@
         raise ValueError(str(error)) from error
     # A few compressed bytes may expand to more than fits into memory.
     if len(out) > max_bytes or not decompressor.eof or decompressor.unused_data:
-        raise ValueError(f'packed frame is incomplete, has trailing bytes, or is larger than {max_bytes} bytes')
+        raise ValueError(f'compressed frame is incomplete, has trailing bytes, or is larger than {max_bytes} bytes')
     return out
 
 
@@ -93,7 +93,7 @@
         # The decompressor of the stream, created with the first streamed frame.
         self.stream: typing.Any = None
 
-    def next_of_stream(self, data: bytes) -> bytes:
+    def next_stream_frame(self, data: bytes) -> bytes:
         """Return the JSON of the stream's next frame; raises ValueError if it is damaged or too large."""
         if self.stream is None:
             self.stream = zlib.decompressobj(-WINDOW_BITS)
@@ -121,7 +121,7 @@
             if data[:1] == COMPRESSED:
                 data = decompress_frame(data, self.MAX_LENGTH)
             elif data[:1] == STREAMED:
-                data = self.next_of_stream(data)
+                data = self.next_stream_frame(data)
             frame = json.loads(data)
             if not isinstance(frame, dict):
                 raise ValueError('not a JSON object')
@@ -215,8 +215,8 @@
         A frame is compressed only when it is sent, not while it is queued: the
         stream must contain exactly what its connection carries. One stream
         serves the whole connection because most of a frame repeats the frame
-        before it. Packed frames are not added to the stream, since they were
-        compressed once for many peers.
+        before it. Separately compressed frames are not added to the stream,
+        since they were compressed once for many peers.
         """
         connections = self.factory.connections
         if data[:1] != COMPRESSED and connections.wire_levels.get(self.factory.addr, 0) >= STREAM_LEVEL:
@@ -279,8 +279,8 @@
     def encoded(self, frame: dict, packs: bool) -> bytes:
         """Return the bytes of a frame, cached for a short time because a publication is sent to many peers."""
         recent = self.recent_chunks if frame.get('t') == CHUNK_KIND else self.recent_frames
-        for cached, packed, data in recent:
-            if cached is frame and packed == packs:
+        for cached, cached_may_compress, data in recent:
+            if cached is frame and cached_may_compress == packs:
                 return data
         data = json.dumps(frame, separators=(',', ':')).encode()
         if packs and COMPRESSION_THRESHOLD_BYTES < len(data) <= self.max_frame_bytes:
--- a/zinctrail/transport/program.py
+++ b/zinctrail/transport/program.py
@@ -222,8 +222,8 @@
     node = host.Host(machine, twisted.internet.reactor, disk, dialect, FLAGS.doors, FLAGS.figures_s)
     settings_reload = SettingsReload(node, changed_command_line)
     # Installed before the start: by default these signals end a process, and they may arrive at any time.
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: twisted.internet.reactor.callFromThread(node.feed, 'stop'))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: twisted.internet.reactor.callFromThread(node.feed, 'stop'))
     signal.signal(signal.SIGHUP, lambda *_: twisted.internet.reactor.callFromThread(settings_reload.check))
     node.start()
     return node, settings_reload
@@ -261,6 +261,6 @@
     reactor: twisted_types.Reactor = twisted.internet.reactor
     reactor.run(installSignalHandlers=False)
     # The interpreter removes our handlers as it exits; another signal would then change the exit code.
-    for number in HANDLED_SIGNALS:
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in HANDLED_SIGNALS:
+        signal.signal(signal_number, signal.SIG_IGN)
     sys.exit(node.exit_code)
--- a/zinctrail/transport/web.py
+++ b/zinctrail/transport/web.py
@@ -19,7 +19,7 @@
 # theirs.
 IDLE_S = 60
 METRICS_PATH = b'/v1/metrics'
-# Translates a response of the state machine into the dialect of its caller.
+# Translates a response of the state machine into the dialect of its client.
 Translate = typing.Callable[[effects.HttpResponse], effects.HttpResponse]
 
 
@@ -31,7 +31,7 @@
     """An API call whose response is outstanding."""
 
     request: server.Request
-    # Translates the response into the dialect of the caller; None if it is sent as it is.
+    # Translates the response into the dialect of the client; None if it is sent unchanged.
     translate: Translate | None
 
 
@@ -70,12 +70,12 @@
         self.host.feed('http', call_id, call)
 
     def disconnected(self, reason: failure.Failure, call_id: int) -> None:
-        """Notify the state machine that a caller disconnected before it got its response."""
+        """Notify the state machine that a client disconnected before it got its response."""
         if self.pending.pop(call_id, None) is not None:
             self.host.feed('hung_up', call_id)
 
     def respond(self, response: effects.HttpResponse) -> None:
-        """Send the response of the state machine, if its caller is still connected."""
+        """Send the response of the state machine, if its client is still connected."""
         call = self.pending.pop(response.request_id, None)
         if call is None:
             return
@@ -85,7 +85,7 @@
 
 
 class DialectResource(resource.Resource):
-    """The API on an address where callers use the host's dialect."""
+    """The API on an address where clients use the host's dialect."""
 
     isLeaf = True
 
