--- a/zinctrail/transport/disk.py
+++ b/zinctrail/transport/disk.py
@@ -192,7 +192,7 @@
         """
         path = os.path.join(self.folder, name)
         try:
-            descriptor = self._open_aside(path + '.tmp')
+            descriptor = self._open_temporary(path + '.tmp')
             try:
                 data = text.encode()
                 size = len(data)
@@ -215,7 +215,7 @@
         else:
             self.possibly_open.difference_update(obsolete_files)
 
-    def _open_aside(self, path: str) -> int:
+    def _open_temporary(self, path: str) -> int:
         """Open a temporary file for writing, reusing an obsolete file where possible.
 
         Removing hundreds of files at a snapshot blocked the event loop for a
