--- a/zinctrail/cli/ctl.py
+++ b/zinctrail/cli/ctl.py
@@ -14,15 +14,15 @@
   duties                            show the holder and the fencing token of each singleton role
   trace ID [FILE ...]               show one request, from the log lines of any processes (no FILE: standard input)
   election [TERM] [FILE ...]        show each election, from the log lines of any processes
-  get                               print the configuration in force (linearizable read)
+  get                               print the configuration in force (leadership confirmed by a quorum)
   check FILE                        print every error of a configuration (- is standard input)
   apply FILE [--base=N]             put a configuration into force; N is the generation that the change is based on
                                     (default: the current one)
   label ADDR K=V ... [K- ...]       set or remove labels of an endpoint
   cell CELL [region=R] [K=V] [K-]   set a zone's region and labels
   evacuate CELL | return CELL       move traffic away from a zone, or return it
-  items get | items versions        print the open-traffic items in force (linearizable read), or a table of their
-                                    names and versions
+  items get | items versions        print the open-traffic items in force (leadership confirmed by a quorum), or a
+                                    table of their names and versions
   items apply FILE                  set and remove items; items that already have a higher version are unchanged
   items drop rules|pools NAME VERSION
                                     remove an item
