--- a/zinctrail/client/coordination.py
+++ b/zinctrail/client/coordination.py
@@ -73,7 +73,7 @@
         body: Document | None,
         timeout: datetime.timedelta = DEFAULT_TIMEOUT,
         attempt_timeout: datetime.timedelta = ATTEMPT_TIMEOUT,
-    ) -> twisted_types.Steps[tuple[datetime.timedelta, Document]]:
+    ) -> twisted_types.DeferredGenerator[tuple[datetime.timedelta, Document]]:
         """Make a call that may be retried. Returns (when the successful attempt was sent, its JSON result)."""
         deadline = self.now() + timeout
         status: int = 0
@@ -102,7 +102,7 @@
         raise errors.CoordinationError(status, document)
 
     @defer.inlineCallbacks
-    def new_id(self, timeout: datetime.timedelta) -> twisted_types.Steps[str]:
+    def new_id(self, timeout: datetime.timedelta) -> twisted_types.DeferredGenerator[str]:
         """Return an id for a call: EPOCH.RANDOM, where the epoch determines how long its result is retained."""
         _, document = yield self.call('GET', '/v1/epoch', None, timeout)
         return f'{document["epoch"]}.{self.rng.getrandbits(ID_BITS):024x}'
@@ -110,7 +110,7 @@
     @defer.inlineCallbacks
     def call_once(
         self, path: str, body: Document, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[Document]:
+    ) -> twisted_types.DeferredGenerator[Document]:
         """Make a call that changes state, under a new id, so that it takes effect once. Returns its JSON result."""
         deadline = self.now() + timeout
         call_id = yield self.new_id(timeout)
@@ -120,13 +120,13 @@
     @defer.inlineCallbacks
     def next_number(
         self, name: str, increment: int = 1, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Increment a counter and return its value, which is above all values that were returned before."""
         document = yield self.call_once('/v1/number/next', {'name': name, 'by': increment}, timeout)
         return document['number']
 
     @defer.inlineCallbacks
-    def get(self, key: str, timeout: datetime.timedelta = DEFAULT_TIMEOUT) -> twisted_types.Steps[Document]:
+    def get(self, key: str, timeout: datetime.timedelta = DEFAULT_TIMEOUT) -> twisted_types.DeferredGenerator[Document]:
         """Return {value, rev, head}: a key's value and revision, None and 0 if it is absent.
 
         `head` is the revision from which to watch the key.
@@ -142,7 +142,7 @@
     @defer.inlineCallbacks
     def put(
         self, key: str, value: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Write a key and return its new revision; with `revision`, only if the key is at that revision (0: absent)."""
         body: Document = {'key': key, 'value': value}
         if revision is not None:
@@ -153,7 +153,7 @@
     @defer.inlineCallbacks
     def remove(
         self, key: str, revision: int | None = None, timeout: datetime.timedelta = DEFAULT_TIMEOUT
-    ) -> twisted_types.Steps[int]:
+    ) -> twisted_types.DeferredGenerator[int]:
         """Remove a key and return the removal's revision; with `revision`, only if the key is at that revision."""
         body: Document = {'key': key} if revision is None else {'key': key, 'rev': revision}
         document = yield self.call_once('/v1/key/drop', body, timeout)
@@ -162,7 +162,7 @@
     @defer.inlineCallbacks
     def watch(
         self, prefix: str, since: int, wait: datetime.timedelta = durations.ms(5000)
-    ) -> twisted_types.Steps[Document]:
+    ) -> twisted_types.DeferredGenerator[Document]:
         """Return the events after revision `since`, {events, head}; wait while there are none. Continue from `head`.
 
         The error has status 410 if the retained history does not reach back to `since`.
@@ -196,7 +196,7 @@
         return self.expires_at is not None and self.client.now() < self.expires_at
 
     @defer.inlineCallbacks
-    def acquire(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.Steps[bool]:
+    def acquire(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.DeferredGenerator[bool]:
         """True if the lock is held now (also renews it); False while another owner holds it."""
         body = {
             'name': self.name,
@@ -217,7 +217,7 @@
         return self.is_held()
 
     @defer.inlineCallbacks
-    def release(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.Steps[None]:
+    def release(self, timeout: datetime.timedelta = LOCK_TIMEOUT) -> twisted_types.DeferredGenerator[None]:
         """Release the lock."""
         # Cleared before the call, because another owner may hold the lock from the moment the call is sent.
         self.expires_at = self.fencing_token = None
--- a/zinctrail/client/request_client.py
+++ b/zinctrail/client/request_client.py
@@ -109,7 +109,7 @@
         return datetime.timedelta(seconds=self.clock())
 
     @defer.inlineCallbacks
-    def lookup(self, timeout: datetime.timedelta) -> twisted_types.Steps[LookupResponse | None]:
+    def lookup(self, timeout: datetime.timedelta) -> twisted_types.DeferredGenerator[LookupResponse | None]:
         """Return proxies and the current epoch: the cached lookup response, or a new one if it is no longer valid.
 
         None if no directory responds. `timeout` is for each directory.
@@ -155,7 +155,7 @@
         labels: dict[str, str] | None = None,
         timeout: datetime.timedelta = durations.ms(5000),
         request_id: str | None = None,
-    ) -> twisted_types.Steps[Response]:
+    ) -> twisted_types.DeferredGenerator[Response]:
         """Send a request, retry it if that is safe, and return its Response."""
         request = Request(service, path, method, body, labels, self.now() + timeout)
         response = Response(NOT_RUN, 0, {}, b'', fault='no lookup response from any directory')
@@ -186,7 +186,7 @@
     @defer.inlineCallbacks
     def _attempt(
         self, lookup_response: LookupResponse, request: Request, request_id: str, attempt: int
-    ) -> twisted_types.Steps[Response]:
+    ) -> twisted_types.DeferredGenerator[Response]:
         """Send one attempt, through the next of the proxies in the lookup response."""
         self.attempt_count += 1
         proxy = lookup_response['proxies'][self.attempt_count % len(lookup_response['proxies'])]
