--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -185,7 +185,7 @@
     'the repeat bound': lambda: off(retry_budget.RetryBudget, 'allows', lambda self, now, proxies: True),
     'turns at the cold': lambda: off(slow_start.SlowStart, 'is_throttled', lambda self, incarnation, row: False),
     'home': lambda: off(routing_table.RoutingTable, 'region_of', lambda self, cell: 'r0'),
-    'contents of versions': lambda: off(configuration_items, '_is_acknowledged', lambda *args: True),
+    'contents of versions': lambda: off(configuration_items, '_may_acknowledge', lambda *args: True),
     'emptied cells': lambda: off(routing_table.RoutingTable, 'is_emptied', lambda self, cell: False),
     'lock terms': lambda: op('lock.hold', sooner),
     'values known again': lambda: op('cell.put', put_anew),
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -103,7 +103,7 @@
 def contents_are_the_same(context, one: str, other: str, expected: str):
     rows = [{'name': 'r', 'x': json.loads(text)} for text in (one, other)]
     assert len({version_contents.digest(row) for row in rows}) == (1 if expected == 'one' else 2), rows
-    assert version_contents.same(*rows) == (expected == 'one'), rows
+    assert version_contents.is_same(*rows) == (expected == 'one'), rows
 
 
 # -- in a simulated deployment ---------------------------------------------------
