--- a/zinctrail/control/configuration_changes.py
+++ b/zinctrail/control/configuration_changes.py
@@ -55,7 +55,7 @@
             if result['status'] == 200 and waits:
                 version = member.as_version(controller.replica.get('meta', 'routes'))
                 self.pending.append(PendingChange(version, controller.now, result, callback))
-                self.respond_in_force()
+                self.respond_to_applied()
             else:
                 callback(result)
 
@@ -67,7 +67,7 @@
             for_caller=True,
         )
 
-    def respond_in_force(self) -> None:
+    def respond_to_applied(self) -> None:
         """Respond to the callers whose changes every member has applied."""
         controller = self.controller
         pending = []
--- a/zinctrail/control/controller.py
+++ b/zinctrail/control/controller.py
@@ -121,7 +121,7 @@
         self.health_checks.check_silent()
         self.outlier_ejection.update()
         self.lock_expiry.drop_expired()
-        self.configuration_changes.respond_in_force()
+        self.configuration_changes.respond_to_applied()
         self.watches.respond_to_overdue()
         self.reconfigure()
 
@@ -136,7 +136,7 @@
 
     def timer_changes_in_force(self):
         """Check again whether every member has applied the pending changes."""
-        self.configuration_changes.respond_in_force()
+        self.configuration_changes.respond_to_applied()
 
     def timer_events(self):
         """Respond to watches; the timer is set when events come into force."""
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -132,7 +132,7 @@
 # -- at the node that received the call ---------------------------------------
 
 
-class CalledNode(typing.Protocol):
+class ReceivingNode(typing.Protocol):
     """The interface of the node that received the call."""
 
     now: datetime.timedelta
@@ -140,7 +140,7 @@
     settings: settings.Settings
 
 
-class WaitingCalls(typing.Protocol):
+class PendingCalls(typing.Protocol):
     """The calls that are pending at that node."""
 
     def is_waiting(self, respond: replies.Callback) -> bool:
@@ -164,7 +164,7 @@
     holds when it resumes has no effect once its caller is known to have disconnected.
     """
 
-    def __init__(self, node: CalledNode, calls: WaitingCalls, body: dict, respond: replies.Callback):
+    def __init__(self, node: ReceivingNode, calls: PendingCalls, body: dict, respond: replies.Callback):
         self.node = node
         self.calls = calls
         self.command = {'cell': body.get('cell'), 'on': body.get('on')}
