--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -126,7 +126,8 @@
             return False
         if len(self.in_flight) >= MAX_IN_FLIGHT:
             return False
-        # While a majority is silent, nothing is published: callers can then be told that nothing was carried out.
+        # While a majority is silent, nothing is published, because it could not be committed; the callers can then be
+        # refused with the certainty that nothing was carried out.
         if self.voter.majority_contact.is_round_overdue():
             return False
         # The first version of a term must be committed before the next is published: the leader's own records besides
