--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -11,7 +11,7 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# Absent members that read chunks are forgotten once such members outnumber twice the present ones by more than this.
+# Once the members known to read chunks outnumber twice the present members by more than this, absent ones are forgotten.
 CHUNK_READERS_SPARE = 64
 NO_VERSION = (0, 0)
 
