--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -152,7 +152,7 @@
             # The newest accepted version first, as that voter wins at once; then the most recent message, as its
             # sender is most likely to be alive.
             peer = max(prepared, key=lambda peer: (peer.accepted, peer.last_seen_at))
-            voter.log(f'Names {peer.node} as the next leader.', 'successor', term=voter.term, node=peer.node)
+            voter.log(f'Names {peer.node} as its successor.', 'successor', term=voter.term, node=peer.node)
             voter.send_message(peer.address, messages.Succeed(term=voter.term))
         voter.set_timer('successor', RESEND_INTERVAL)
 
