--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -34,12 +34,12 @@
 NEEDS_APPS = ('locks', 'numbers', 'keys', 'watches')
 
 
-def run_day(names: list[str], seed: int, checker: str) -> days.Day:
+def run_scenario(names: list[str], seed: int, checker: str) -> days.Scenario:
     """Run a day of faults for a checker.
 
     Plain endpoints keep to the interface and defend nothing: what holds with them is ours.
     """
-    day = days.Day(
+    scenario = days.Scenario(
         seed,
         names,
         length=ms(15000),
@@ -50,7 +50,7 @@
         plain=True,
         drift=0.02,
     )
-    return day.run()
+    return scenario.run()
 
 
 # -- guards, each switched off as narrowly as may be -----------------------
@@ -209,18 +209,18 @@
 def days_of_faults_under_seeds(context, names: str, seeds: str):
     context.names = names.split(',')
     context.seeds = [int(seed) for seed in seeds.split(',')]
-    context.make, context.guards = run_day, GUARDS
+    context.make, context.guards = run_scenario, GUARDS
 
 
 @behave.then('checker {checker} finds nothing')
 def checker_finds_nothing(context, checker: str):
     context.checker = checker
     for seed in context.seeds:
-        day = context.make(context.names, seed, checker)
-        assert day.verdicts(checker) == [], (day.verdicts(checker)[:5], day.replay_command())
+        scenario = context.make(context.names, seed, checker)
+        assert scenario.verdicts(checker) == [], (scenario.verdicts(checker)[:5], scenario.replay_command())
         # A day in which nothing was served, or no fault had a target, would prove nothing.
-        assert len(day.deployment.notes.runs) > 500, day.deployment.tally()
-        assert not day.missed, day.missed
+        assert len(scenario.deployment.notes.runs) > 500, scenario.deployment.tally()
+        assert not scenario.missed, scenario.missed
 
 
 @behave.then('with guard {guard} off it finds something')
@@ -230,8 +230,8 @@
         with contextlib.ExitStack() as stack:
             for patch in context.guards[guard]():
                 stack.enter_context(patch)
-            day = context.make(context.names, seed, context.checker)
-            found += day.verdicts(context.checker)
+            scenario = context.make(context.names, seed, context.checker)
+            found += scenario.verdicts(context.checker)
         if found:
             return
     raise AssertionError(f'checker {context.checker} is blind to the loss of {guard}')
@@ -241,8 +241,9 @@
 import hashlib, sys
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.days as days
-day = days.Day(int(sys.argv[1]), sys.argv[2].split(','), length=durations.ms(10000)).run()
-print(hashlib.sha256(repr((day.world.lines, day.world.inputs, day.deployment.notes.replies)).encode()).hexdigest())
+scenario = days.Scenario(int(sys.argv[1]), sys.argv[2].split(','), length=durations.ms(10000)).run()
+records = scenario.world.lines, scenario.world.inputs, scenario.deployment.notes.replies
+print(hashlib.sha256(repr(records).encode()).hexdigest())
 """
 
 
@@ -270,21 +271,23 @@
 
 @behave.given('a day of {names} under seed {seed:d}')
 def day_of_faults_under_seed(context, names: str, seed: int):
-    context.day = days.Day(seed, names.split(','), length=ms(30000)).run()
+    context.simulated_scenario = days.Scenario(seed, names.split(','), length=ms(30000)).run()
 
 
 @behave.then('nothing that must never happen happened')
 def no_violation_happened(context):
-    violations = context.day.verdicts()
-    assert not violations, (violations[:5], context.day.replay_command())
-    assert len(context.day.deployment.notes.runs) > 300, context.day.deployment.tally()
+    violations = context.simulated_scenario.verdicts()
+    assert not violations, (violations[:5], context.simulated_scenario.replay_command())
+    assert len(context.simulated_scenario.deployment.notes.runs) > 300, context.simulated_scenario.deployment.tally()
 
 
 @behave.given('{shape} at {rate:d} a second, a day of {names}, seed {seed:d}')
 def day_of_shape_and_rate(context, shape: str, rate: int, names: str, seed: int):
-    context.day = days.Day(seed, names.split(','), shape, ms(16000), rate=rate, plain=True, drift=0.02).run()
+    context.simulated_scenario = days.Scenario(
+        seed, names.split(','), shape, ms(16000), rate=rate, plain=True, drift=0.02
+    ).run()
 
 
 @behave.then('the fault found its mark')
 def fault_found_its_mark(context):
-    assert not context.day.missed, context.day.missed
+    assert not context.simulated_scenario.missed, context.simulated_scenario.missed
--- a/features/steps/full_days_steps.py
+++ b/features/steps/full_days_steps.py
@@ -11,4 +11,4 @@
 
 @behave.given('a full day of {shape} with {faults}')
 def full_day(context, shape: str, faults: str):
-    context.day = days.Day(SEED, faults.split(','), shape, LENGTH).run()
+    context.simulated_scenario = days.Scenario(SEED, faults.split(','), shape, LENGTH).run()
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -31,9 +31,9 @@
 NEEDS_APPS = ('one', 'order', 'stale', 'value', 'history')
 
 
-def day(names, seed, checker):
+def run_scenario(names, seed, checker):
     """Play one day of open traffic whose clocks drift, with applications where the checker needs them."""
-    return open_days.Day(seed, names, length=ms(12000), coord=checker in NEEDS_APPS, drift=0.02).run()
+    return open_days.Scenario(seed, names, length=ms(12000), coord=checker in NEEDS_APPS, drift=0.02).run()
 
 
 # -- guards, each switched off as narrowly as may be -----------------------
@@ -198,15 +198,15 @@
 @behave.given('open days of {names} under seeds {seeds}')
 def open_days_under_seeds(context, names, seeds):
     context.names, context.seeds = names.split(','), [int(s) for s in seeds.split(',')]
-    context.make, context.guards = day, GUARDS
+    context.make, context.guards = run_scenario, GUARDS
 
 
 @behave.given('an open day of {names} under seed {seed:d}, {shape}')
 def open_day_under_seed(context, names, seed, shape):
-    context.day = open_days.Day(seed, names.split(','), shape, ms(20000)).run()
+    context.simulated_scenario = open_days.Scenario(seed, names.split(','), shape, ms(20000)).run()
 
 
 @behave.then('checker {checker} finds nothing in it')
 def checker_finds_nothing_in_it(context, checker):
-    findings = context.day.verdicts(checker)
-    assert not findings, (findings[:5], context.day.replay_command())
+    findings = context.simulated_scenario.verdicts(checker)
+    assert not findings, (findings[:5], context.simulated_scenario.replay_command())
--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -30,8 +30,8 @@
 @behave.given('a simulated day of {traffic}')
 def simulate_day(context, traffic):
     kind = {'library calls': days, 'open traffic': open_days}[traffic]
-    context.day = kind.Day(1, drift=0.0)
-    context.world, context.deployment = context.day.world, context.day.deployment
+    context.simulated_scenario = kind.Scenario(1, drift=0.0)
+    context.world, context.deployment = context.simulated_scenario.world, context.simulated_scenario.deployment
     context.deployment.start()
     context.path = '/zt/live' if kind is days else '/health'
 
@@ -108,7 +108,7 @@
 
 @behave.given('notes of a rule acknowledged at {acked} s, and {requests:d} requests for it at {at} s that got 404')
 def note_rule_and_requests(context, acked, requests, at):
-    context.deployment = open_days.Day(1).deployment
+    context.deployment = open_days.Scenario(1).deployment
     acknowledged(context.deployment.notes, 1, seconds(acked))
     for number in range(requests):
         turned_away(context.deployment.notes, number, seconds(at))
@@ -119,7 +119,7 @@
     ' with {requests:d} requests for it at {at} s that got 404'
 )
 def note_changed_rule_and_requests(context, acked, changed, requests, at):
-    context.deployment = open_days.Day(1).deployment
+    context.deployment = open_days.Scenario(1).deployment
     acknowledged(context.deployment.notes, 1, seconds(acked))
     acknowledged(context.deployment.notes, 2, seconds(changed))
     for number in range(requests):
@@ -235,18 +235,18 @@
 
 @behave.given('an open day of "{group}" whose faults are noted as they begin')
 def open_day_noting_faults(context, group):
-    day = open_days.Day(1, drift=0.0)
+    scenario = open_days.Scenario(1, drift=0.0)
     context.begun = []
 
     def note(name):
-        def begin(day):
-            context.begun.append((day.world.now, name))
+        def begin(scenario):
+            context.begun.append((scenario.world.now, name))
             return ms(500)
 
         return begin
 
-    day.faults = {name: note(name) for name in registry.names_of(group)}
-    day.strike(group)
+    scenario.faults = {name: note(name) for name in registry.names_of(group)}
+    scenario.strike(group)
     assert [name for _, name in context.begun] == registry.names_of(group), context.begun
 
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -206,14 +206,14 @@
 
 @behave.when('a day of {faults} with the shape of many runs under seed {seed:d}')
 def day_of_shape_runs(context, faults: str, seed: int):
-    context.day = days.Day(seed, faults.split(','), 'many', durations.ms(15000)).run()
+    context.simulated_scenario = days.Scenario(seed, faults.split(','), 'many', durations.ms(15000)).run()
 
 
 @behave.then('nothing that must never happen happened in it')
 def day_has_no_violation(context):
-    machines = [node.machine for node in context.day.world.of('core')]
+    machines = [node.machine for node in context.simulated_scenario.world.of('core')]
     paces = [
         machine.leadership.heartbeats.interval_for(peer) for machine in machines for peer in machine.peers.values()
     ]
     assert any(durations.to_ms(pace) > SLOWER_PACE_MS for pace in paces), 'nobody went at the slower pace'
-    assert not context.day.verdicts(), context.day.verdicts()
+    assert not context.simulated_scenario.verdicts(), context.simulated_scenario.verdicts()
--- a/features/support/frame_samples.py
+++ b/features/support/frame_samples.py
@@ -57,9 +57,9 @@
         if len(line) <= LENGTH_MOST and len(line) < len(samples.get(form, line + ' ')):
             samples[form] = line
 
-    day = kind_of_day.Day(seed, search.plan(seed, kind_of_day), 'small', DAY)
-    day.world.on_deliver = note
-    day.run()
+    scenario = kind_of_day.Scenario(seed, search.plan(seed, kind_of_day), 'small', DAY)
+    scenario.world.on_deliver = note
+    scenario.run()
 
 
 def main() -> None:
--- a/zinctrail/fleet/replay_simulated.py
+++ b/zinctrail/fleet/replay_simulated.py
@@ -21,8 +21,8 @@
     """Replays events in a simulated deployment of the day's shape."""
 
     def __init__(self, header: dict, seed: int):
-        self.day = days.Day(seed, shape=header['shape'])
-        self.world, self.deployment = self.day.world, self.day.deployment
+        self.scenario = days.Scenario(seed, shape=header['shape'])
+        self.world, self.deployment = self.scenario.world, self.scenario.deployment
         self.counts = {}
         self.callers = {}
 
@@ -83,7 +83,7 @@
 
     def do_fault(self, event: dict) -> None:
         """Inject a fault that ends by itself; the checkers require service only from its end on."""
-        duration = days.FAULTS[event['name']](self.day)
+        duration = days.FAULTS[event['name']](self.scenario)
         self.world.after(
             duration, lambda: self.deployment.notes.losses.append(actor_notes.Loss(self.world.now, event['name']))
         )
--- a/zinctrail/simulation/command.py
+++ b/zinctrail/simulation/command.py
@@ -66,7 +66,7 @@
 def main(argv: list[str], kind: types.ModuleType, text: str) -> int:
     """Run the command for one kind of days.
 
-    :param kind: the module whose Day, FAULTS and SHAPES are meant.
+    :param kind: the module whose Scenario, FAULTS and SHAPES are meant.
     :param text: its help.
     :returns: the exit status: 0 if nothing was found, 1 if something was, 2 for a fault that does not exist.
     """
@@ -90,14 +90,14 @@
 
 def play(kind: types.ModuleType, options: Options) -> int:
     """Play one day and print what it found."""
-    day = kind.Day(
+    scenario = kind.Scenario(
         options.seed, options.faults, options.shape, options.length(), options.trace, rate=options.rate
     ).run()
-    verdicts = day.verdicts()
-    missed = f' found nothing to break: {day.missed}' if day.missed else ''
-    print(f'{day.deployment.tally()} worst {day.figures()}{missed}')
+    verdicts = scenario.verdicts()
+    missed = f' found nothing to break: {scenario.missed}' if scenario.missed else ''
+    print(f'{scenario.deployment.tally()} worst {scenario.figures()}{missed}')
     for verdict in verdicts:
         print(verdict)
     if verdicts:
-        print(f'replay: {day.replay_command()}')
+        print(f'replay: {scenario.replay_command()}')
     return 1 if verdicts else 0
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -20,7 +20,6 @@
 import zinctrail.simulation.actors.notes as actor_notes
 import zinctrail.simulation.checks as checks
 import zinctrail.simulation.command as command
-import zinctrail.simulation.day as simulated_day
 import zinctrail.simulation.faults.disks
 import zinctrail.simulation.faults.endpoints
 import zinctrail.simulation.faults.load
@@ -30,6 +29,7 @@
 import zinctrail.simulation.faults.processes
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.faults.stale_views  # noqa: F401 (these modules register their faults)
+import zinctrail.simulation.scenario as simulated_scenario
 import zinctrail.simulation.world as simulated_world
 
 ms = durations.ms
@@ -47,7 +47,7 @@
 READS_UNTIL = ms(10**7)
 
 
-class Day(simulated_day.Day):
+class Scenario(simulated_scenario.Scenario):
     """One seeded run with callers that use the client library."""
 
     faults = FAULTS
--- a/zinctrail/simulation/faults/disks.py
+++ b/zinctrail/simulation/faults/disks.py
@@ -4,80 +4,80 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.day as simulated_day
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.node as simulated_node
+import zinctrail.simulation.scenario as simulated_scenario
 
 ms = durations.ms
 fault = registry.CLIENT.register
 
 
 @fault
-def die_confirming(day: simulated_day.Day) -> datetime.timedelta:
+def die_confirming(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A machine loses power right after a write, before what rests on it is sent."""
-    writes_left = day.rng.randrange(1, 30)
+    writes_left = scenario.rng.randrange(1, 30)
 
     def die(node: simulated_node.Node, effect: effects.Write | effects.WriteChunk | effects.CommitChunks) -> bool:
         """Count writes down, and lose the machine's power at the last."""
         nonlocal writes_left
         writes_left -= 1
         if writes_left == 0:
-            day.note(f'power lost at {node.name} after {effect.name}')
-            day.restart(node, ms(3000))
+            scenario.note(f'power lost at {node.name} after {effect.name}')
+            scenario.restart(node, ms(3000))
             return True
         return False
 
-    day.world.die_in_write = die
-    day.later(ms(4000), setattr, day.world, 'die_in_write', None)
+    scenario.world.die_in_write = die
+    scenario.later(ms(4000), setattr, scenario.world, 'die_in_write', None)
     return ms(7000)
 
 
 @fault
-def lose_disk(day: simulated_day.Day) -> datetime.timedelta:
+def lose_disk(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A control node loses its disk and comes back empty under its old address."""
-    node = day.pick('core')
+    node = scenario.pick('core')
     node.kill()
     node.disk.files = {}
     node.disk.synced = {}
-    day.restart(node, ms(2000))
+    scenario.restart(node, ms(2000))
     return ms(3000)
 
 
 @fault
-def damage_disk(day: simulated_day.Day) -> datetime.timedelta:
+def damage_disk(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A byte of a control node's files is altered while it is down."""
-    node = day.pick('core')
+    node = scenario.pick('core')
     node.kill()
     names = sorted(node.disk.files)
     if names:
-        name = day.rng.choice(names)
+        name = scenario.rng.choice(names)
         text = node.disk.files[name]
-        position = day.rng.randrange(len(text))
+        position = scenario.rng.randrange(len(text))
         node.disk.files[name] = text[:position] + chr(ord(text[position]) ^ 1) + text[position + 1 :]
-    day.restart(node, ms(2000))
+    scenario.restart(node, ms(2000))
     return ms(3000)
 
 
-def _leader_or_any(day: simulated_day.Day) -> simulated_node.Node | None:
+def _leader_or_any(scenario: simulated_scenario.Scenario) -> simulated_node.Node | None:
     """The leader, which may be None, or any control node, with even chances."""
-    return day.world.leader() if day.rng.random() < 0.5 else day.pick('core')
+    return scenario.world.leader() if scenario.rng.random() < 0.5 else scenario.pick('core')
 
 
 @fault
-def disk_full(day: simulated_day.Day) -> datetime.timedelta:
+def disk_full(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A control node's disk is full."""
-    node = _leader_or_any(day)
+    node = _leader_or_any(scenario)
     if node:
         node.disk.full = True
-        day.later(ms(5000), setattr, node.disk, 'full', False)
+        scenario.later(ms(5000), setattr, node.disk, 'full', False)
     return ms(7000)
 
 
 @fault
-def disk_stalls(day: simulated_day.Day) -> datetime.timedelta:
+def disk_stalls(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """Each write at a control node blocks its process for a while."""
-    node = _leader_or_any(day)
+    node = _leader_or_any(scenario)
     if node:
-        node.disk.stall = ms(day.rng.choice((20, 200, 2500)))
-        day.later(ms(5000), setattr, node.disk, 'stall', ms(0))
+        node.disk.stall = ms(scenario.rng.choice((20, 200, 2500)))
+        scenario.later(ms(5000), setattr, node.disk, 'stall', ms(0))
     return ms(9000)
--- a/zinctrail/simulation/faults/load.py
+++ b/zinctrail/simulation/faults/load.py
@@ -17,50 +17,50 @@
 
 
 @fault
-def crowd(day: 'days.Day') -> datetime.timedelta:
+def crowd(scenario: 'days.Scenario') -> datetime.timedelta:
     """Four times the traffic, to endpoints that take long."""
-    for caller in day.deployment.callers:
+    for caller in scenario.deployment.callers:
         caller.rate *= 4
-        day.later(ms(7000), lambda caller=caller: setattr(caller, 'rate', caller.rate / 4))
-    _slow_down(day, (300, 900), ms(7000))
+        scenario.later(ms(7000), lambda caller=caller: setattr(caller, 'rate', caller.rate / 4))
+    _slow_down(scenario, (300, 900), ms(7000))
     return ms(9000)
 
 
-def _slow_down(day: 'days.Day', work_ms: tuple[int, int], length: datetime.timedelta) -> None:
+def _slow_down(scenario: 'days.Scenario', work_ms: tuple[int, int], length: datetime.timedelta) -> None:
     """Give all endpoints other work times, in ms from and to, for a while."""
-    for endpoint in day.deployment.endpoints:
+    for endpoint in scenario.deployment.endpoints:
         endpoint.work_ms = work_ms
-        day.later(length, setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(length, setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
 
 
 @fault
-def impatient(day: 'days.Day') -> datetime.timedelta:
+def impatient(scenario: 'days.Scenario') -> datetime.timedelta:
     """Callers wait shorter than cold endpoints work: what was given up still runs."""
-    for caller in day.deployment.callers:
+    for caller in scenario.deployment.callers:
         caller.timeout = ms(400)
-        day.later(ms(8000), setattr, caller, 'timeout', caller_actor.USUAL_TIMEOUT)
-    for endpoint in day.first_service():
+        scenario.later(ms(8000), setattr, caller, 'timeout', caller_actor.USUAL_TIMEOUT)
+    for endpoint in scenario.first_service():
         if endpoint.up:
             endpoint.kill()
         endpoint.coldness = 0.8
         endpoint.warm_up_time = ms(12000)
         endpoint.work_ms = (300, 2500)
-        day.later(ms(300), endpoint.start)
-        day.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(ms(300), endpoint.start)
+        scenario.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
     return ms(10000)
 
 
 @fault
-def starved(day: 'days.Day') -> datetime.timedelta:
+def starved(scenario: 'days.Scenario') -> datetime.timedelta:
     """One slow endpoint is left of each service, under four times the traffic, half of it repeated at once."""
-    for service in sorted(day.shape['services']):
-        endpoints = [endpoint for endpoint in day.deployment.endpoints if endpoint.service == service]
+    for service in sorted(scenario.shape['services']):
+        endpoints = [endpoint for endpoint in scenario.deployment.endpoints if endpoint.service == service]
         for endpoint in endpoints[1:]:
             endpoint.kill()
-            day.later(ms(9000), lambda endpoint=endpoint: endpoint.up or endpoint.start())
+            scenario.later(ms(9000), lambda endpoint=endpoint: endpoint.up or endpoint.start())
         endpoints[0].work_ms = (300, 900)
-        day.later(ms(9000), setattr, endpoints[0], 'work_ms', endpoint_actor.USUAL_WORK_MS)
-    for caller in day.deployment.callers:
+        scenario.later(ms(9000), setattr, endpoints[0], 'work_ms', endpoint_actor.USUAL_WORK_MS)
+    for caller in scenario.deployment.callers:
         usual = {
             'rate': caller.rate,
             'storm_chance': caller.storm_chance,
@@ -71,22 +71,22 @@
         caller.storm_chance = 0.5
         caller.timeout = ms(300)
         caller.wild_chance = 0.0
-        day.later(ms(8000), caller.__dict__.update, usual)
+        scenario.later(ms(8000), caller.__dict__.update, usual)
     return ms(9500)
 
 
 @fault
-def slow_ends(day: 'days.Day') -> datetime.timedelta:
+def slow_ends(scenario: 'days.Scenario') -> datetime.timedelta:
     """All endpoints are slow."""
-    _slow_down(day, (200, 3000), ms(6000))
+    _slow_down(scenario, (200, 3000), ms(6000))
     return ms(9000)
 
 
 @fault
-def storm(day: 'days.Day') -> datetime.timedelta:
+def storm(scenario: 'days.Scenario') -> datetime.timedelta:
     """Callers repeat at once and often, while replies are lost."""
-    for caller in day.deployment.callers:
+    for caller in scenario.deployment.callers:
         caller.storm_chance = 0.5
-        day.later(ms(8000), setattr, caller, 'storm_chance', 0.0)
-    endpoint_faults.spoil_replies(day, 'loss_chance', 0.2)
+        scenario.later(ms(8000), setattr, caller, 'storm_chance', 0.0)
+    endpoint_faults.spoil_replies(scenario, 'loss_chance', 0.2)
     return ms(8000)
--- a/zinctrail/simulation/faults/losses.py
+++ b/zinctrail/simulation/faults/losses.py
@@ -4,18 +4,18 @@
 import typing
 
 import zinctrail.runtime.durations as durations
-import zinctrail.simulation.day as simulated_day
 import zinctrail.simulation.faults.processes as process_faults
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.node as simulated_node
+import zinctrail.simulation.scenario as simulated_scenario
 
 ms = durations.ms
 fault = registry.CLIENT.register
 
 
-def random_cell(day: simulated_day.Day) -> str:
+def random_cell(scenario: simulated_scenario.Scenario) -> str:
     """The name of a random zone."""
-    return day.rng.choice(day.deployment.cells)
+    return scenario.rng.choice(scenario.deployment.cells)
 
 
 def region_of(cell: str) -> str:
@@ -24,65 +24,65 @@
 
 
 @fault
-def cell_lost(day: simulated_day.Day) -> datetime.timedelta:
+def cell_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A cell loses power for a while."""
-    gone = random_cell(day)
-    _lose(day, lambda cell: cell == gone)
+    gone = random_cell(scenario)
+    _lose(scenario, lambda cell: cell == gone)
     return ms(6000)
 
 
 @fault
-def region_lost(day: simulated_day.Day) -> datetime.timedelta:
+def region_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A region loses power for a while."""
-    gone = region_of(random_cell(day))
-    _lose(day, lambda cell: region_of(cell) == gone)
+    gone = region_of(random_cell(scenario))
+    _lose(scenario, lambda cell: region_of(cell) == gone)
     return ms(6000)
 
 
-def _lose(day: simulated_day.Day, is_lost: typing.Callable[[str], bool]) -> None:
+def _lose(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
     """Cut the power of all that runs in the chosen zones, and bring it back five seconds later."""
-    for node in day.world.nodes.values():
+    for node in scenario.world.nodes.values():
         if is_lost(node.location.cell) and node.up:
             node.kill(power=True)
-            day.restart(node, ms(5000 + day.rng.uniform(0, 500)))
-    for endpoint in day.deployment.endpoints:
+            scenario.restart(node, ms(5000 + scenario.rng.uniform(0, 500)))
+    for endpoint in scenario.deployment.endpoints:
         if is_lost(endpoint.cell) and endpoint.up:
             endpoint.kill()
-            day.later(ms(5000 + day.rng.uniform(0, 1000)), endpoint.start)
+            scenario.later(ms(5000 + scenario.rng.uniform(0, 1000)), endpoint.start)
 
 
 @fault
-def region_for_good(day: simulated_day.Day) -> datetime.timedelta:
+def region_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A region's machines are lost for good, and then one more control node, where there are enough."""
-    gone = region_of(random_cell(day))
-    _destroy_place(day, lambda cell: region_of(cell) == gone)
-    control_nodes = [node for node in day.world.of('core') if not node.destroyed]
+    gone = region_of(random_cell(scenario))
+    _destroy_place(scenario, lambda cell: region_of(cell) == gone)
+    control_nodes = [node for node in scenario.world.of('core') if not node.destroyed]
     if len(control_nodes) > 3:
-        day.later(ms(8000), lambda: _destroy([day.rng.choice(control_nodes)]))
+        scenario.later(ms(8000), lambda: _destroy([scenario.rng.choice(control_nodes)]))
         return ms(9000)
     return ms(1000)
 
 
 @fault
-def cell_for_good(day: simulated_day.Day) -> datetime.timedelta:
+def cell_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A cell's machines and endpoints are lost for good."""
-    gone = random_cell(day)
-    _destroy_place(day, lambda cell: cell == gone)
+    gone = random_cell(scenario)
+    _destroy_place(scenario, lambda cell: cell == gone)
     return ms(1000)
 
 
 @fault
-def machine_for_good(day: simulated_day.Day) -> datetime.timedelta:
+def machine_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A machine of each role is lost for good."""
     for role in ('core', 'dir', 'prox'):
-        _destroy([day.pick(role)])
+        _destroy([scenario.pick(role)])
     return ms(1000)
 
 
-def _destroy_place(day: simulated_day.Day, is_lost: typing.Callable[[str], bool]) -> None:
+def _destroy_place(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
     """Destroy the machines in the chosen zones, and end the endpoints there."""
-    _destroy([node for node in day.world.nodes.values() if is_lost(node.location.cell)])
-    for endpoint in day.deployment.endpoints:
+    _destroy([node for node in scenario.world.nodes.values() if is_lost(node.location.cell)])
+    for endpoint in scenario.deployment.endpoints:
         if is_lost(endpoint.cell) and endpoint.up:
             endpoint.kill()
 
@@ -95,20 +95,20 @@
 
 
 @fault
-def swap_seeds(day: simulated_day.Day) -> datetime.timedelta:
+def swap_seeds(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """All seeds are replaced; whoever restarts knows only the new ones."""
-    seeds = [day.world.nodes[name].location.addr for name in day.rng.sample(sorted(day.world.nodes), 3)]
-    for node in day.world.nodes.values():
+    seeds = [scenario.world.nodes[name].location.addr for name in scenario.rng.sample(sorted(scenario.world.nodes), 3)]
+    for node in scenario.world.nodes.values():
         node.location.seeds = list(seeds)
-    node = day.pick('core')
+    node = scenario.pick('core')
     node.kill()
-    day.restart(node, ms(1000))
+    scenario.restart(node, ms(1000))
     return ms(2000)
 
 
 @fault
-def stale_seeds(day: simulated_day.Day) -> datetime.timedelta:
+def stale_seeds(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """Two of three seeds answer nobody, and half of all processes are killed."""
-    for node in day.world.nodes.values():
-        node.location.seeds = ['10.99.0.1:1000', '10.99.0.2:1000', day.world.nodes['dir0'].location.addr]
-    return process_faults.kill_many(day)
+    for node in scenario.world.nodes.values():
+        node.location.seeds = ['10.99.0.1:1000', '10.99.0.2:1000', scenario.world.nodes['dir0'].location.addr]
+    return process_faults.kill_many(scenario)
--- a/zinctrail/simulation/faults/network.py
+++ b/zinctrail/simulation/faults/network.py
@@ -3,122 +3,122 @@
 import datetime
 
 import zinctrail.runtime.durations as durations
-import zinctrail.simulation.day as simulated_day
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.node as simulated_node
+import zinctrail.simulation.scenario as simulated_scenario
 
 ms = durations.ms
 fault = registry.CLIENT.register
 
 
 @fault
-def isolate_one(day: simulated_day.Day) -> datetime.timedelta:
+def isolate_one(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """One process is cut off from all others and from the endpoints."""
-    node = day.rng.choice(list(day.world.nodes.values()))
-    day.world.isolate(node.name)
-    day.later(ms(6000), day.world.heal)
+    node = scenario.rng.choice(list(scenario.world.nodes.values()))
+    scenario.world.isolate(node.name)
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
 @fault
-def isolate_master(day: simulated_day.Day) -> datetime.timedelta:
+def isolate_master(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """The leader is cut off from everybody."""
-    leader = day.world.leader()
+    leader = scenario.world.leader()
     if leader:
-        day.world.isolate(leader.name)
-    day.later(ms(6000), day.world.heal)
+        scenario.world.isolate(leader.name)
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
 @fault
-def isolate_master_alive(day: simulated_day.Day) -> datetime.timedelta:
+def isolate_master_alive(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """The leader is cut off from the other control nodes only; directories and proxies still reach it."""
-    leader = day.world.leader()
+    leader = scenario.world.leader()
     if leader:
-        day.world.partition([leader.name], [node.name for node in day.world.of('core')])
-    day.later(ms(6000), day.world.heal)
+        scenario.world.partition([leader.name], [node.name for node in scenario.world.of('core')])
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
-def cut_proxy_off(day: simulated_day.Day, length: datetime.timedelta) -> simulated_node.Node:
+def cut_proxy_off(scenario: simulated_scenario.Scenario, length: datetime.timedelta) -> simulated_node.Node:
     """Cut a proxy off from the system's other processes; callers and endpoints still reach it."""
-    node = day.pick('prox')
-    day.world.partition([node.name])
-    day.later(length, day.world.heal)
+    node = scenario.pick('prox')
+    scenario.world.partition([node.name])
+    scenario.later(length, scenario.world.heal)
     return node
 
 
 @fault
-def isolate_proxy(day: simulated_day.Day) -> datetime.timedelta:
+def isolate_proxy(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A proxy is cut off from the system's other processes only."""
-    cut_proxy_off(day, ms(8000))
+    cut_proxy_off(scenario, ms(8000))
     return ms(8000)
 
 
 @fault
-def split_core(day: simulated_day.Day) -> datetime.timedelta:
+def split_core(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """The control nodes are cut into two halves."""
-    names = [node.name for node in day.world.of('core')]
-    day.rng.shuffle(names)
+    names = [node.name for node in scenario.world.of('core')]
+    scenario.rng.shuffle(names)
     half = names[: len(names) // 2]
-    day.world.partition(half)
-    day.later(ms(6000), day.world.heal)
+    scenario.world.partition(half)
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
 @fault
-def split_with_master(day: simulated_day.Day) -> datetime.timedelta:
+def split_with_master(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """The leader, a directory and a proxy on one side, a majority of the control nodes and the rest on the other."""
-    leader = day.world.leader()
+    leader = scenario.world.leader()
     if leader is None:
-        day.miss('split_with_master')
+        scenario.miss('split_with_master')
         return ms(0)
-    day.world.partition([leader.name, day.pick('dir').name, day.pick('prox').name])
-    day.later(ms(6000), day.world.heal)
+    scenario.world.partition([leader.name, scenario.pick('dir').name, scenario.pick('prox').name])
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
 @fault
-def split_core_from_rest(day: simulated_day.Day) -> datetime.timedelta:
+def split_core_from_rest(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """All control nodes reach one another and nobody else reaches them."""
-    day.world.partition([node.name for node in day.world.of('core')])
-    day.later(ms(5000), day.world.heal)
+    scenario.world.partition([node.name for node in scenario.world.of('core')])
+    scenario.later(ms(5000), scenario.world.heal)
     return ms(5000)
 
 
 @fault
-def one_way(day: simulated_day.Day) -> datetime.timedelta:
+def one_way(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """Frames pass in one direction only between some pairs."""
-    names = list(day.world.nodes)
+    names = list(scenario.world.nodes)
     for _ in range(len(names)):
-        source, target = day.rng.sample(names, 2)
-        day.world.cut(source, target, both=False)
-    day.later(ms(6000), day.world.heal)
+        source, target = scenario.rng.sample(names, 2)
+        scenario.world.cut(source, target, both=False)
+    scenario.later(ms(6000), scenario.world.heal)
     return ms(6000)
 
 
 @fault
-def lossy(day: simulated_day.Day) -> datetime.timedelta:
+def lossy(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """Frames are lost, duplicated and delayed."""
-    world = day.world
+    world = scenario.world
     world.loss = 0.03
     world.duplication = 0.03
-    world.extra_delay = ms(day.rng.uniform(0, 30))
+    world.extra_delay = ms(scenario.rng.uniform(0, 30))
 
     def over() -> None:
         """Let the network carry all frames again."""
         world.loss = world.duplication = 0.0
         world.extra_delay = ms(0)
 
-    day.later(ms(6000), over)
+    scenario.later(ms(6000), over)
     return ms(6000)
 
 
 @fault
-def replies_lost(day: simulated_day.Day) -> datetime.timedelta:
+def replies_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """Callers, applications and operators lose replies that were given."""
-    deployment = day.deployment
+    deployment = scenario.deployment
     for name in [user.name for user in deployment.callers + deployment.applications] + ['op']:
-        day.world.reply_loss[name] = 0.2
-    day.later(ms(8000), day.world.reply_loss.clear)
+        scenario.world.reply_loss[name] = 0.2
+    scenario.later(ms(8000), scenario.world.reply_loss.clear)
     return ms(8000)
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -31,114 +31,114 @@
 # -- cuts ------------------------------------------------------------------------
 
 
-def cut_off(day: 'open_days.Day', node: simulated_node.Node, length: datetime.timedelta) -> None:
+def cut_off(scenario: 'open_days.Scenario', node: simulated_node.Node, length: datetime.timedelta) -> None:
     """Cut one control node from the other control nodes; proxies and callers still reach it."""
-    day.world.partition([node.name], [other.name for other in day.world.of('core')])
-    day.later(length, day.world.heal)
+    scenario.world.partition([node.name], [other.name for other in scenario.world.of('core')])
+    scenario.later(length, scenario.world.heal)
 
 
-def one_control_node(day: 'open_days.Day') -> simulated_node.Node:
+def one_control_node(scenario: 'open_days.Scenario') -> simulated_node.Node:
     """The leader or any other control node, at random."""
-    return day.world.leader() or day.pick('core') if day.rng.random() < 0.7 else day.pick('core')
+    return scenario.world.leader() or scenario.pick('core') if scenario.rng.random() < 0.7 else scenario.pick('core')
 
 
 @fault
-def core_cut_leader_long(day: 'open_days.Day') -> datetime.timedelta:
+def core_cut_leader_long(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The leader is cut off for twenty seconds, and orders of all kinds go on."""
-    leader = day.world.leader()
+    leader = scenario.world.leader()
     if leader is None:
-        day.miss('core_cut_leader_long')
+        scenario.miss('core_cut_leader_long')
         return ms(0)
-    cut_off(day, leader, LONG_CUT)
+    cut_off(scenario, leader, LONG_CUT)
     orders = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
     for second in range(1, 20, 2):
-        day.later(ms(1000) * second, day.rng.choice(orders), day)
-    cell = day.rng.choice(day.deployment.cells)
-    day.later(ms(5000), day.deployment.operator.evacuate, cell)
-    day.later(ms(15000), day.deployment.operator.evacuate, cell, False)
+        scenario.later(ms(1000) * second, scenario.rng.choice(orders), scenario)
+    cell = scenario.rng.choice(scenario.deployment.cells)
+    scenario.later(ms(5000), scenario.deployment.operator.evacuate, cell)
+    scenario.later(ms(15000), scenario.deployment.operator.evacuate, cell, False)
     # One change arrives just as the cut heals.
-    day.later(LONG_CUT, open_operators.change_timeout, day)
+    scenario.later(LONG_CUT, open_operators.change_timeout, scenario)
     return LONG_CUT + ms(2000)
 
 
 @fault
-def core_cut_seeds(day: 'open_days.Day') -> datetime.timedelta:
+def core_cut_seeds(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node is cut off, the settings name it first, and some other machines restart."""
-    node = one_control_node(day)
-    cut_off(day, node, SHORT_CUT)
-    others = [other.location.addr for other in day.world.of('core') if other is not node]
-    for other in day.world.nodes.values():
+    node = one_control_node(scenario)
+    cut_off(scenario, node, SHORT_CUT)
+    others = [other.location.addr for other in scenario.world.of('core') if other is not node]
+    for other in scenario.world.nodes.values():
         other.location.seeds = [node.location.addr, *others[:2]]
-    for front in day.rng.sample(day.world.of('prox'), 2):
+    for front in scenario.rng.sample(scenario.world.of('prox'), 2):
         front.kill()
-        day.restart(front, ms(800))
+        scenario.restart(front, ms(800))
     return SHORT_CUT + ms(1000)
 
 
 @fault
-def core_cut_both(day: 'open_days.Day') -> datetime.timedelta:
+def core_cut_both(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node is cut off and restarted meanwhile; then the others are restarted, one after another."""
-    node = one_control_node(day)
-    cut_off(day, node, ms(9000))
-    restarted = [node, *(other for other in day.world.of('core') if other is not node)]
+    node = one_control_node(scenario)
+    cut_off(scenario, node, ms(9000))
+    restarted = [node, *(other for other in scenario.world.of('core') if other is not node)]
     for number, other in enumerate(restarted):
-        day.later(ms(1500) * (number + 1), restart, day, other)
-    day.later(ms(8800), open_operators.change_timeout, day)
+        scenario.later(ms(1500) * (number + 1), restart, scenario, other)
+    scenario.later(ms(8800), open_operators.change_timeout, scenario)
     return ms(9000) + ms(1500) * len(restarted)
 
 
-def restart(day: 'open_days.Day', node: simulated_node.Node) -> None:
+def restart(scenario: 'open_days.Scenario', node: simulated_node.Node) -> None:
     """Kill a process and start it 600 ms later."""
     node.kill()
-    day.restart(node, ms(600))
+    scenario.restart(node, ms(600))
 
 
 @fault
-def zone_cut(day: 'open_days.Day') -> datetime.timedelta:
+def zone_cut(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A zone's machines and endpoints are cut off from the others; its clients still reach all."""
-    world = day.world
-    cell = day.rng.choice(day.deployment.cells)
-    parties = [*world.nodes, *(endpoint.name for endpoint in day.deployment.endpoints if endpoint.up)]
+    world = scenario.world
+    cell = scenario.rng.choice(scenario.deployment.cells)
+    parties = [*world.nodes, *(endpoint.name for endpoint in scenario.deployment.endpoints if endpoint.up)]
     inside = [name for name in parties if world.cells.get(name) == cell]
     for name in inside:
         for other in parties:
             if other not in inside:
                 world.cut(name, other)
-    day.later(SHORT_CUT, world.heal)
+    scenario.later(SHORT_CUT, world.heal)
     return SHORT_CUT + ms(1000)
 
 
 @fault
-def node_cut_servers(day: 'open_days.Day') -> datetime.timedelta:
+def node_cut_servers(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Some endpoints are cut off from all machines."""
-    for endpoint in day.sample(day.deployment.endpoints, 0.2):
-        day.world.isolate(endpoint.name)
-    day.later(SHORT_CUT, day.world.heal)
+    for endpoint in scenario.sample(scenario.deployment.endpoints, 0.2):
+        scenario.world.isolate(endpoint.name)
+    scenario.later(SHORT_CUT, scenario.world.heal)
     return SHORT_CUT + ms(1000)
 
 
 @fault
-def reset_conns(day: 'open_days.Day') -> datetime.timedelta:
+def reset_conns(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Half of the connections of some machines are reset, three times over."""
-    day.repeat(3, ms(1500), reset_some, day)
+    scenario.repeat(3, ms(1500), reset_some, scenario)
     return ms(5000)
 
 
-def reset_some(day: 'open_days.Day') -> None:
+def reset_some(scenario: 'open_days.Scenario') -> None:
     """Reset half of the connections of a quarter of the processes."""
-    nodes = list(day.world.nodes.values())
-    for node in day.rng.sample(nodes, max(2, len(nodes) // 4)):
-        day.world.reset(node, 0.5)
+    nodes = list(scenario.world.nodes.values())
+    for node in scenario.rng.sample(nodes, max(2, len(nodes) // 4)):
+        scenario.world.reset(node, 0.5)
 
 
 # -- slow machines and disks -----------------------------------------------------------
 
 
 @fault
-def node_slow(day: 'open_days.Day') -> datetime.timedelta:
+def node_slow(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node and a proxy get a fifth of their time, in slices of 50 ms."""
-    for node in (one_control_node(day), day.pick('prox')):
-        day.repeat(int(SLOW_SPAN / ms(50)), ms(50), stand_still, node, ms(40))
+    for node in (one_control_node(scenario), scenario.pick('prox')):
+        scenario.repeat(int(SLOW_SPAN / ms(50)), ms(50), stand_still, node, ms(40))
     return SLOW_SPAN + ms(2000)
 
 
@@ -149,11 +149,11 @@
 
 
 @fault
-def disk_slow(day: 'open_days.Day') -> datetime.timedelta:
+def disk_slow(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node's disk takes thirty times as long, its process with it."""
-    node = one_control_node(day)
+    node = one_control_node(scenario)
     node.disk.stall = ms(60)
-    day.later(SLOW_SPAN, setattr, node.disk, 'stall', ms(0))
+    scenario.later(SLOW_SPAN, setattr, node.disk, 'stall', ms(0))
     return SLOW_SPAN + ms(2000)
 
 
@@ -161,156 +161,156 @@
 
 
 @fault
-def roll_term_remove_core(day: 'open_days.Day') -> datetime.timedelta:
+def roll_term_remove_core(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node is told to end and stays away; later it comes back, with its disk."""
-    node = one_control_node(day)
-    open_processes.terminate(day, node, again=False)
-    day.later(ms(10000), day.start_unless_up, node)
+    node = one_control_node(scenario)
+    open_processes.terminate(scenario, node, again=False)
+    scenario.later(ms(10000), scenario.start_unless_up, node)
     return ms(12000)
 
 
 @fault
-def roll_term_busy(day: 'open_days.Day') -> datetime.timedelta:
+def roll_term_busy(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Each machine is told to end while it answers a request."""
-    nodes = list(day.world.nodes.values())
-    day.rng.shuffle(nodes)
+    nodes = list(scenario.world.nodes.values())
+    scenario.rng.shuffle(nodes)
     gap = ms(1000)
     for number, node in enumerate(nodes):
-        day.later(gap * number, end_when_busy, day, node, day.world.now + gap * (number + 1))
+        scenario.later(gap * number, end_when_busy, scenario, node, scenario.world.now + gap * (number + 1))
     return gap * len(nodes) + ms(6000)
 
 
-def end_when_busy(day: 'open_days.Day', node: simulated_node.Node, deadline: datetime.timedelta) -> None:
+def end_when_busy(scenario: 'open_days.Scenario', node: simulated_node.Node, deadline: datetime.timedelta) -> None:
     """SIGTERM as soon as a request is under way there, at `deadline` at the latest."""
-    if node.requests or day.world.now >= deadline:
-        open_processes.terminate(day, node)
+    if node.requests or scenario.world.now >= deadline:
+        open_processes.terminate(scenario, node)
     else:
-        day.later(ms(5), end_when_busy, day, node, deadline)
+        scenario.later(ms(5), end_when_busy, scenario, node, deadline)
 
 
-def lose_power(day: 'open_days.Day', nodes: typing.Iterable[simulated_node.Node]) -> None:
+def lose_power(scenario: 'open_days.Scenario', nodes: typing.Iterable[simulated_node.Node]) -> None:
     """Cut the power of machines, and bring each back after some two seconds."""
     for node in nodes:
         node.kill(power=True)
-        day.restart(node, POWER_AWAY + ms(day.rng.uniform(0, 300)))
+        scenario.restart(node, POWER_AWAY + ms(scenario.rng.uniform(0, 300)))
 
 
 @fault
-def herd_kill_core_power(day: 'open_days.Day') -> datetime.timedelta:
+def herd_kill_core_power(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All control nodes lose power at once."""
-    lose_power(day, day.world.of('core'))
+    lose_power(scenario, scenario.world.of('core'))
     return ms(4000)
 
 
 @fault
-def herd_kill_taken(day: 'open_days.Day') -> datetime.timedelta:
+def herd_kill_taken(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All control nodes lose power right after an application's call was answered with success."""
-    return when_work_is_accepted(day, lambda node: lose_power(day, day.world.of('core')))
+    return when_work_is_accepted(scenario, lambda node: lose_power(scenario, scenario.world.of('core')))
 
 
 @fault
-def after_ack_kill_taken(day: 'open_days.Day') -> datetime.timedelta:
+def after_ack_kill_taken(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The control node that has just answered an application's call with success loses power."""
-    return when_work_is_accepted(day, lambda node: lose_power(day, [node]))
+    return when_work_is_accepted(scenario, lambda node: lose_power(scenario, [node]))
 
 
 def when_work_is_accepted(
-    day: 'open_days.Day', strike: typing.Callable[[simulated_node.Node], typing.Any]
+    scenario: 'open_days.Scenario', strike: typing.Callable[[simulated_node.Node], typing.Any]
 ) -> datetime.timedelta:
     """Do something to the control node that answers the next application's call with success."""
     hit: list[str] = []
 
     def struck(name: str) -> None:
         """Strike the first node that reports an accepted call."""
-        node = day.world.nodes.get(name)
+        node = scenario.world.nodes.get(name)
         if not hit and node:
             hit.append(name)
             strike(node)
 
     def over() -> None:
         """Stop listening, and note a miss if no call was accepted."""
-        day.deployment.on_work_accepted = None
+        scenario.deployment.on_work_accepted = None
         if not hit:
-            day.miss('when_work_is_accepted')
+            scenario.miss('when_work_is_accepted')
 
-    day.deployment.on_work_accepted = struck
-    day.later(ms(3000), over)
+    scenario.deployment.on_work_accepted = struck
+    scenario.later(ms(3000), over)
     return ms(8000)
 
 
 @fault
-def after_ack_kill_timed(day: 'open_days.Day') -> datetime.timedelta:
+def after_ack_kill_timed(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A control node loses power 5 to 400 ms after a change was sent, acknowledged or not."""
-    open_operators.change_timeout(day)
-    day.later(ms(day.rng.uniform(5, 400)), lambda: lose_power(day, [one_control_node(day)]))
+    open_operators.change_timeout(scenario)
+    scenario.later(ms(scenario.rng.uniform(5, 400)), lambda: lose_power(scenario, [one_control_node(scenario)]))
     return ms(6000)
 
 
 @fault
-def after_ack_kill_alone(day: 'open_days.Day') -> datetime.timedelta:
+def after_ack_kill_alone(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The process that acknowledges a change is killed, its machine keeps power."""
-    return open_processes.strike_after_acknowledgement(day, lambda node: day.kill_for(node, ms(3000)))
+    return open_processes.strike_after_acknowledgement(scenario, lambda node: scenario.kill_for(node, ms(3000)))
 
 
 # -- settings ------------------------------------------------------------------------------------
 
 
 @fault
-def hup(day: 'open_days.Day') -> datetime.timedelta:
+def hup(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Some machines read their settings again, unchanged."""
-    nodes = list(day.world.nodes.values())
-    for number, node in enumerate(day.rng.sample(nodes, max(1, round(0.3 * len(nodes))))):
-        day.later(ms(400) * number, read_settings, day, node)
+    nodes = list(scenario.world.nodes.values())
+    for number, node in enumerate(scenario.rng.sample(nodes, max(1, round(0.3 * len(nodes))))):
+        scenario.later(ms(400) * number, read_settings, scenario, node)
     return ms(400) * len(nodes) + ms(2000)
 
 
-def read_settings(day: 'open_days.Day', node: simulated_node.Node) -> None:
+def read_settings(scenario: 'open_days.Scenario', node: simulated_node.Node) -> None:
     """Let a process read its settings again, unless it is down or paused."""
     if node.up and node.paused is None:
-        node.feed('settings', dataclasses.replace(node.location), day.world.settings)
+        node.feed('settings', dataclasses.replace(node.location), scenario.world.settings)
 
 
 # -- operators ---------------------------------------------------------------------------------------
 
 
 @fault
-def config_storm(day: 'open_days.Day') -> datetime.timedelta:
+def config_storm(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A change each 100 ms for five seconds, with no pause for the acknowledgements."""
-    day.repeat(50, ms(100), open_operators.change_timeout, day)
+    scenario.repeat(50, ms(100), open_operators.change_timeout, scenario)
     return ms(8000)
 
 
 @fault
-def config_idle(day: 'open_days.Day') -> datetime.timedelta:
+def config_idle(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The limits of what clients may send are changed."""
     limits = {
-        'version': day.deployment.next_version(),
+        'version': scenario.deployment.next_version(),
         'header_bytes': 16384,
         'body_bytes': 1 << 26,
         'header_ms': 3000,
-        'idle_ms': day.rng.choice((8000, 12000, 20000)),
+        'idle_ms': scenario.rng.choice((8000, 12000, 20000)),
     }
-    day.deployment.operator.change({'limits': limits})
+    scenario.deployment.operator.change({'limits': limits})
     return ms(4000)
 
 
 @fault
-def ack_lost(day: 'open_days.Day') -> datetime.timedelta:
+def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Most acknowledgements to operators are lost, and each order is sent again until one arrives."""
     for who in OPERATORS:
-        day.world.reply_loss[who] = 0.7
-    day.deployment.notes.ack_losses.append(open_notes.Span(day.world.now, day.world.now + ms(8000)))
-    day.later(ms(8000), forget_losses, day)
+        scenario.world.reply_loss[who] = 0.7
+    scenario.deployment.notes.ack_losses.append(open_notes.Span(scenario.world.now, scenario.world.now + ms(8000)))
+    scenario.later(ms(8000), forget_losses, scenario)
     for number in range(5):
-        day.later(ms(1200) * number, open_operators.change_timeout, day)
-        day.later(ms(1200) * number + ms(300), open_operators.race, day)
-    cell = day.rng.choice(day.deployment.cells)
-    day.later(ms(2000), day.deployment.operator.evacuate, cell)
-    day.later(ms(6500), open_operator.Operator(day.deployment, 'op1').evacuate, cell, False)
+        scenario.later(ms(1200) * number, open_operators.change_timeout, scenario)
+        scenario.later(ms(1200) * number + ms(300), open_operators.race, scenario)
+    cell = scenario.rng.choice(scenario.deployment.cells)
+    scenario.later(ms(2000), scenario.deployment.operator.evacuate, cell)
+    scenario.later(ms(6500), open_operator.Operator(scenario.deployment, 'op1').evacuate, cell, False)
     return ms(10000)
 
 
-def forget_losses(day: 'open_days.Day') -> None:
+def forget_losses(scenario: 'open_days.Scenario') -> None:
     """Let operators' replies arrive again."""
     for who in OPERATORS:
-        day.world.reply_loss.pop(who, None)
+        scenario.world.reply_loss.pop(who, None)
--- a/zinctrail/simulation/faults/open_operators.py
+++ b/zinctrail/simulation/faults/open_operators.py
@@ -24,81 +24,81 @@
 # -- changes of one rule -----------------------------------------------------------
 
 
-def changed(day: 'open_days.Day', rule: dict, **more) -> dict:
+def changed(scenario: 'open_days.Scenario', rule: dict, **more) -> dict:
     """A rule with some fields changed, under a new version."""
     row = {key: value for key, value in rule.items() if key not in OWN_KEYS and (key != 'pool' or 'shares' not in more)}
     if 'pool' in more:
         row.pop('shares', None)
-    return {**row, 'version': day.deployment.next_version(), **more}
+    return {**row, 'version': scenario.deployment.next_version(), **more}
 
 
-def other_service(day: 'open_days.Day', rule: dict) -> str:
+def other_service(scenario: 'open_days.Scenario', rule: dict) -> str:
     """A service that the rule does not route to."""
     current = terms.pools_of(rule)
-    return day.rng.choice([service for service in sorted(terms.SERVICES) if service not in current])
+    return scenario.rng.choice([service for service in sorted(terms.SERVICES) if service not in current])
 
 
-def change_timeout(day: 'open_days.Day') -> None:
+def change_timeout(scenario: 'open_days.Scenario') -> None:
     """Give a rule another time-out."""
-    rule = day.random_rule()
-    timeout_ms = rule['timeout_ms'] + day.rng.choice((-100, 100, 200))
-    day.deployment.set_rules([changed(day, rule, timeout_ms=timeout_ms)])
+    rule = scenario.random_rule()
+    timeout_ms = rule['timeout_ms'] + scenario.rng.choice((-100, 100, 200))
+    scenario.deployment.set_rules([changed(scenario, rule, timeout_ms=timeout_ms)])
 
 
-def move(day: 'open_days.Day') -> None:
+def move(scenario: 'open_days.Scenario') -> None:
     """Route a rule to another service."""
-    rule = day.random_rule()
-    pool = other_service(day, rule)
-    day.deployment.set_rules([changed(day, rule, pool=pool)])
+    rule = scenario.random_rule()
+    pool = other_service(scenario, rule)
+    scenario.deployment.set_rules([changed(scenario, rule, pool=pool)])
 
 
-def split(day: 'open_days.Day') -> None:
+def split(scenario: 'open_days.Scenario') -> None:
     """Split a rule's traffic between two services."""
-    rule = day.random_rule()
-    one, other = day.rng.sample(sorted(terms.SERVICES), 2)
+    rule = scenario.random_rule()
+    one, other = scenario.rng.sample(sorted(terms.SERVICES), 2)
     shares = [{'pool': one, 'weight': 9}, {'pool': other, 'weight': 1}]
-    day.deployment.set_rules([changed(day, rule, shares=shares)])
+    scenario.deployment.set_rules([changed(scenario, rule, shares=shares)])
 
 
-def _new_rule(day: 'open_days.Day') -> dict:
+def _new_rule(scenario: 'open_days.Scenario') -> dict:
     """A copy of a random rule under a name, prefix and host of its own."""
-    rule = day.random_rule()
-    number = day.world.sequence
-    return changed(day, rule, name=f'r-n{number}', prefix=f'/n{number}/', host=f'n{number % 3}.example')
+    rule = scenario.random_rule()
+    number = scenario.world.sequence
+    return changed(scenario, rule, name=f'r-n{number}', prefix=f'/n{number}/', host=f'n{number % 3}.example')
 
 
-def add(day: 'open_days.Day') -> None:
+def add(scenario: 'open_days.Scenario') -> None:
     """Add a rule."""
-    day.deployment.set_rules([_new_rule(day)])
+    scenario.deployment.set_rules([_new_rule(scenario)])
 
 
-def add_and_drop(day: 'open_days.Day') -> None:
+def add_and_drop(scenario: 'open_days.Scenario') -> None:
     """Add a rule, drop it soon after, and go on sending requests for it."""
-    rule = _new_rule(day)
-    day.deployment.set_rules([rule])
+    rule = _new_rule(scenario)
+    scenario.deployment.set_rules([rule])
 
     def drop() -> None:
         """Drop the rule, and go on sending requests for it."""
-        gone = dict(rule, version=day.deployment.next_version())
-        day.deployment.set_rules([], [gone])
+        gone = dict(rule, version=scenario.deployment.next_version())
+        scenario.deployment.set_rules([], [gone])
         # Requests that go on show what is in force at the proxies.
-        day.repeat(30, ms(300), lambda: day.rng.choice(day.deployment.clients).send_one(rule))
+        scenario.repeat(30, ms(300), lambda: scenario.rng.choice(scenario.deployment.clients).send_one(rule))
 
-    day.later(ms(2500), drop)
+    scenario.later(ms(2500), drop)
 
 
 @fault
-def config_change(day: 'open_days.Day') -> datetime.timedelta:
+def config_change(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Rules move to other services, are split, are given other time-outs, are added and dropped."""
-    for number, change in enumerate(day.rng.sample((move, split, change_timeout, add, add_and_drop), 3)):
-        day.later(ms(1500) * number, change, day)
+    for number, change in enumerate(scenario.rng.sample((move, split, change_timeout, add, add_and_drop), 3)):
+        scenario.later(ms(1500) * number, change, scenario)
     return ms(9000)
 
 
 @fault
-def config_move(day: 'open_days.Day') -> datetime.timedelta:
+def config_move(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A rule moves to another service."""
-    move(day)
+    move(scenario)
     return ms(5000)
 
 
@@ -106,56 +106,56 @@
 
 
 @fault
-def config_race(day: 'open_days.Day') -> datetime.timedelta:
+def config_race(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Two operators change one rule on the same version at once, through two nodes."""
-    day.repeat(3, ms(1200), race, day)
+    scenario.repeat(3, ms(1200), race, scenario)
     return ms(5000)
 
 
-def race(day: 'open_days.Day') -> None:
+def race(scenario: 'open_days.Scenario') -> None:
     """Two versions of a rule are sent at once, in either order, and the first again later."""
-    rule = day.random_rule()
-    one = changed(day, rule, pool=other_service(day, rule))
-    other = changed(day, rule, pool=other_service(day, rule))
-    if day.rng.random() < 0.5:
+    rule = scenario.random_rule()
+    one = changed(scenario, rule, pool=other_service(scenario, rule))
+    other = changed(scenario, rule, pool=other_service(scenario, rule))
+    if scenario.rng.random() < 0.5:
         # The older one is sent again, after the newer.
         one, other = other, one
-    deployment = day.deployment
+    deployment = scenario.deployment
     for number, row in enumerate((one, other)):
         deployment.set_rules([row], operator=open_operator.Operator(deployment, f'op{number}'))
-    day.later(ms(900), deployment.set_rules, [copy.deepcopy(one)], (), open_operator.Operator(deployment, 'op2'))
+    scenario.later(ms(900), deployment.set_rules, [copy.deepcopy(one)], (), open_operator.Operator(deployment, 'op2'))
 
 
 @fault
-def config_one_number(day: 'open_days.Day') -> datetime.timedelta:
+def config_one_number(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Two operators give one rule different contents under the same version, through two nodes, and send again."""
-    day.repeat(3, ms(1500), _same_version_twice, day)
+    scenario.repeat(3, ms(1500), _same_version_twice, scenario)
     return ms(6500)
 
 
-def _same_version_twice(day: 'open_days.Day') -> None:
+def _same_version_twice(scenario: 'open_days.Scenario') -> None:
     """Send two contents of a rule under one version, each through two nodes and once more later."""
-    rule = day.random_rule()
-    one = changed(day, rule, pool=other_service(day, rule))
+    rule = scenario.random_rule()
+    one = changed(scenario, rule, pool=other_service(scenario, rule))
     other = dict(one, timeout_ms=one['timeout_ms'] + 50)
     for number, row in enumerate((one, other)):
-        operator = open_operator.Operator(day.deployment, f'op{number}')
-        day.deployment.set_rules([row], operator=operator)
+        operator = open_operator.Operator(scenario.deployment, f'op{number}')
+        scenario.deployment.set_rules([row], operator=operator)
         # The same order at a second node at the same time, and once more later.
-        day.deployment.set_rules([copy.deepcopy(row)], operator=operator)
-        day.later(ms(1200), day.deployment.set_rules, [copy.deepcopy(row)], (), operator)
+        scenario.deployment.set_rules([copy.deepcopy(row)], operator=operator)
+        scenario.later(ms(1200), scenario.deployment.set_rules, [copy.deepcopy(row)], (), operator)
 
 
 @fault
-def old_version(day: 'open_days.Day') -> datetime.timedelta:
+def old_version(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A change of before arrives again."""
-    rule = day.random_rule()
-    moved = changed(day, rule, pool=other_service(day, rule))
-    day.deployment.set_rules([moved])
+    rule = scenario.random_rule()
+    moved = changed(scenario, rule, pool=other_service(scenario, rule))
+    scenario.deployment.set_rules([moved])
     again = {key: value for key, value in rule.items() if key not in OWN_KEYS}
     for at_ms in (1000, 2500):
-        operator = open_operator.Operator(day.deployment, 'op2')
-        day.later(ms(at_ms), day.deployment.set_rules, [again], (), operator)
+        operator = open_operator.Operator(scenario.deployment, 'op2')
+        scenario.later(ms(at_ms), scenario.deployment.set_rules, [again], (), operator)
     return ms(5000)
 
 
@@ -163,16 +163,16 @@
 
 
 @fault
-def bad_config(day: 'open_days.Day') -> datetime.timedelta:
+def bad_config(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Changes that are invalid, each in one of several ways, are sent."""
-    day.repeat(4, ms(800), _send_invalid, day)
+    scenario.repeat(4, ms(800), _send_invalid, scenario)
     return ms(4500)
 
 
-def _send_invalid(day: 'open_days.Day') -> None:
+def _send_invalid(scenario: 'open_days.Scenario') -> None:
     """Send one change that is invalid in a random way, alone or after a valid rule."""
-    rule = day.random_rule()
-    good = changed(day, day.random_rule(), pool=other_service(day, rule))
+    rule = scenario.random_rule()
+    good = changed(scenario, scenario.random_rule(), pool=other_service(scenario, rule))
     kinds = {
         'unknown_service': {'pool': 'nowhere'},
         'odd_kind': {'once': 'perhaps'},
@@ -183,39 +183,43 @@
         # Another content under a version that was acknowledged.
         'same_version': {'timeout_ms': rule['timeout_ms'] + 7, 'version': rule['version']},
     }
-    kind = day.rng.choice([*sorted(kinds), 'cut_short'])
-    bad = changed(day, rule, **kinds.get(kind, {}))
-    sets = {'rules': [good, bad] if day.rng.random() < 0.5 else [bad]}
+    kind = scenario.rng.choice([*sorted(kinds), 'cut_short'])
+    bad = changed(scenario, rule, **kinds.get(kind, {}))
+    sets = {'rules': [good, bad] if scenario.rng.random() < 0.5 else [bad]}
     body = None
     if kind == 'cut_short':
-        body = json.dumps({'set': sets}).encode()[: -day.rng.randrange(2, 40)]
-    changes = day.deployment.notes.changes
+        body = json.dumps({'set': sets}).encode()[: -scenario.rng.randrange(2, 40)]
+    changes = scenario.deployment.notes.changes
     before = len(changes)
-    day.deployment.operator.change(sets, length=ms(5000), body=body)
+    scenario.deployment.operator.change(sets, length=ms(5000), body=body)
     for change in changes[before:]:
         change.is_invalid = True
         change.order.is_invalid = True
 
 
 @fault
-def big_config(day: 'open_days.Day') -> datetime.timedelta:
+def big_config(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A large number of rules is added at once."""
-    base = day.random_rule()
+    base = scenario.random_rule()
     rules = [
         changed(
-            day, base, name=f'big{day.world.sequence}-{number}', prefix=f'/b{number}/', host=f'b{number % 7}.example'
+            scenario,
+            base,
+            name=f'big{scenario.world.sequence}-{number}',
+            prefix=f'/b{number}/',
+            host=f'b{number % 7}.example',
         )
         for number in range(BIG_CONFIG_RULES)
     ]
-    day.deployment.set_rules(rules, lively=False)
+    scenario.deployment.set_rules(rules, lively=False)
 
     def send_one() -> None:
         """Send a request for one of the rules, once they are acknowledged."""
-        if rules[0]['name'] in day.deployment.rules:
-            day.rng.choice(day.deployment.clients).send_one(day.rng.choice(rules))
+        if rules[0]['name'] in scenario.deployment.rules:
+            scenario.rng.choice(scenario.deployment.clients).send_one(scenario.rng.choice(rules))
 
     for number in range(30):
-        day.later(ms(3000 + 100 * number), send_one)
+        scenario.later(ms(3000 + 100 * number), send_one)
     return ms(7000)
 
 
@@ -223,42 +227,42 @@
 
 
 @fault
-def evacuate(day: 'open_days.Day') -> datetime.timedelta:
+def evacuate(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A cell is evacuated, and its endpoints are cold when it is taken back."""
-    return _evacuate(day, becomes_cold=True)
+    return _evacuate(scenario, becomes_cold=True)
 
 
 @fault
-def evacuate_warm(day: 'open_days.Day') -> datetime.timedelta:
+def evacuate_warm(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A cell is evacuated, and its endpoints are warm when it is taken back."""
-    return _evacuate(day, becomes_cold=False)
+    return _evacuate(scenario, becomes_cold=False)
 
 
-def _evacuate(day: 'open_days.Day', becomes_cold: bool) -> datetime.timedelta:
+def _evacuate(scenario: 'open_days.Scenario', becomes_cold: bool) -> datetime.timedelta:
     """Evacuate a random zone, and take it back nine seconds later."""
-    cell = day.rng.choice(day.deployment.cells)
-    day.deployment.operator.evacuate(cell)
+    cell = scenario.rng.choice(scenario.deployment.cells)
+    scenario.deployment.operator.evacuate(cell)
 
     def take_back() -> None:
         """Take the zone back, its endpoints cold if they are to be."""
         if becomes_cold:
             # Some time before, since they have had nothing to do by then.
-            for endpoint in day.deployment.endpoints:
+            for endpoint in scenario.deployment.endpoints:
                 if endpoint.up and endpoint.cell == cell:
                     endpoint.become_cold()
-        day.later(ms(day.rng.choice((100, 1000))), day.deployment.operator.evacuate, cell, False)
+        scenario.later(ms(scenario.rng.choice((100, 1000))), scenario.deployment.operator.evacuate, cell, False)
 
-    day.later(ms(9000), take_back)
+    scenario.later(ms(9000), take_back)
     return ms(13000)
 
 
 @fault
-def replies_lost(day: 'open_days.Day') -> datetime.timedelta:
+def replies_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Callers of the control plane lose replies that were given, and ask again."""
-    deployment = day.deployment
+    deployment = scenario.deployment
     users = [user.name for user in deployment.applications] + [user.name for user in deployment.endpoints]
     for name in [*users, 'op', 'op0', 'op1', 'op2']:
-        day.world.reply_loss[name] = 0.25
-    day.later(ms(7000), day.world.reply_loss.clear)
-    change_timeout(day)
+        scenario.world.reply_loss[name] = 0.25
+    scenario.later(ms(7000), scenario.world.reply_loss.clear)
+    change_timeout(scenario)
     return ms(8000)
--- a/zinctrail/simulation/faults/open_unhealthy_endpoints.py
+++ b/zinctrail/simulation/faults/open_unhealthy_endpoints.py
@@ -27,12 +27,12 @@
 # -- unhealthy endpoints -------------------------------------------------------------------
 
 
-def fail_requests(day: 'open_days.Day', how: str, share: float) -> datetime.timedelta:
+def fail_requests(scenario: 'open_days.Scenario', how: str, share: float) -> datetime.timedelta:
     """Some endpoints of a service fail a share of their requests; their health answer stays good."""
-    for endpoint in day.sample_of_a_service(0.3):
+    for endpoint in scenario.sample_of_a_service(0.3):
         endpoint.failure_mode = how
         endpoint.failure_share = share
-        day.later(SPAN, setattr, endpoint, 'failure_mode', None)
+        scenario.later(SPAN, setattr, endpoint, 'failure_mode', None)
     return SPAN + ms(1000)
 
 
@@ -41,33 +41,33 @@
 
 
 @fault
-def srv_grey_slow(day: 'open_days.Day') -> datetime.timedelta:
+def srv_grey_slow(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Some endpoints of a service take eight times as long."""
-    open_endpoints.slow_down(day, share=0.3, factor=8, length=SPAN)
+    open_endpoints.slow_down(scenario, share=0.3, factor=8, length=SPAN)
     return SPAN + ms(1000)
 
 
 @fault
-def srv_lying_health(day: 'open_days.Day') -> datetime.timedelta:
+def srv_lying_health(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Health checks pass, and every request fails in one way."""
-    return fail_requests(day, day.rng.choice(('errors', 'hang', 'reset')), 1.0)
+    return fail_requests(scenario, scenario.rng.choice(('errors', 'hang', 'reset')), 1.0)
 
 
 @fault
-def srv_lying_health_bad(day: 'open_days.Day') -> datetime.timedelta:
+def srv_lying_health_bad(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Health checks fail, and all is well."""
-    for endpoint in day.sample_of_a_service(0.5):
+    for endpoint in scenario.sample_of_a_service(0.5):
         endpoint.reports_unhealthy = True
-        day.later(SPAN, setattr, endpoint, 'reports_unhealthy', False)
+        scenario.later(SPAN, setattr, endpoint, 'reports_unhealthy', False)
     return SPAN + ms(1000)
 
 
 @fault
-def idle_race(day: 'open_days.Day') -> datetime.timedelta:
+def idle_race(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Half of the endpoints drop connections that rested for 300 ms, without notice."""
-    for endpoint in day.sample(day.deployment.endpoints, 0.5):
+    for endpoint in scenario.sample(scenario.deployment.endpoints, 0.5):
         endpoint.idle_limit = ms(300)
-        day.later(SPAN, setattr, endpoint, 'idle_limit', None)
+        scenario.later(SPAN, setattr, endpoint, 'idle_limit', None)
     return SPAN + ms(1000)
 
 
@@ -75,34 +75,34 @@
 
 
 @fault
-def srv_flap(day: 'open_days.Day') -> datetime.timedelta:
+def srv_flap(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Some endpoints of a service go down and up by turns."""
-    for endpoint in day.sample_of_a_service(0.3):
+    for endpoint in scenario.sample_of_a_service(0.3):
         for number in range(3):
-            day.later(ms(2000) * number, endpoint.kill)
-            day.later(ms(2000) * number + ms(1000), endpoint.start)
+            scenario.later(ms(2000) * number, endpoint.kill)
+            scenario.later(ms(2000) * number + ms(1000), endpoint.start)
     return ms(7000)
 
 
 @fault
-def srv_crash_all(day: 'open_days.Day') -> datetime.timedelta:
+def srv_crash_all(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All endpoints of a service are down."""
-    service = day.rng.choice(sorted(terms.SERVICES))
-    for endpoint in day.deployment.of(service):
+    service = scenario.rng.choice(sorted(terms.SERVICES))
+    for endpoint in scenario.deployment.of(service):
         endpoint.kill()
-        day.later(ms(4500), endpoint.start)
+        scenario.later(ms(4500), endpoint.start)
     return ms(5000)
 
 
 def go_dark(
-    day: 'open_days.Day',
+    scenario: 'open_days.Scenario',
     endpoint: open_endpoint.Endpoint,
     then: typing.Callable[[], typing.Any] = lambda: None,
     length: datetime.timedelta = DARK_SPAN,
 ) -> None:
     """An endpoint goes silently: connections stay, and nothing comes back."""
-    world = day.world
-    open_endpoints.silence(day, endpoint)
+    world = scenario.world
+    open_endpoints.silence(scenario, endpoint)
 
     def over() -> None:
         """Reconnect the endpoint, and stop its address from listening if it still does."""
@@ -111,40 +111,43 @@
             del world.endpoints[endpoint.address]
         then()
 
-    day.later(length, over)
+    scenario.later(length, over)
 
 
 @fault
-def cold_return_dark(day: 'open_days.Day') -> datetime.timedelta:
+def cold_return_dark(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A zone's endpoints go silently and come back together, cold."""
-    cell = day.rng.choice(day.deployment.cells)
-    for endpoint in [endpoint for endpoint in day.deployment.endpoints if endpoint.cell == cell and endpoint.up]:
-        go_dark(day, endpoint, endpoint.start)
+    cell = scenario.rng.choice(scenario.deployment.cells)
+    for endpoint in [endpoint for endpoint in scenario.deployment.endpoints if endpoint.cell == cell and endpoint.up]:
+        go_dark(scenario, endpoint, endpoint.start)
     return ms(7000)
 
 
 @fault
-def replace_with_reuse_dark(day: 'open_days.Day') -> datetime.timedelta:
+def replace_with_reuse_dark(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Endpoints go silently, and their addresses to another service."""
-    for endpoint in day.sample_of_a_service(0.25):
-        go_dark(day, endpoint, functools.partial(open_endpoints.reuse_address, day, endpoint), NOTICE)
+    for endpoint in scenario.sample_of_a_service(0.25):
+        go_dark(scenario, endpoint, functools.partial(open_endpoints.reuse_address, scenario, endpoint), NOTICE)
     return ms(9000)
 
 
 @fault
-def scale_in_spot(day: 'open_days.Day') -> datetime.timedelta:
+def scale_in_spot(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Endpoints drain and are gone two seconds after the notice; others come four seconds later."""
-    for endpoint in day.sample_of_a_service(0.3):
+    for endpoint in scenario.sample_of_a_service(0.3):
         endpoint.drain()
-        day.later(NOTICE, endpoint.kill)
-        day.later(NOTICE + ms(4000), day.deployment.add_endpoint(endpoint.service, endpoint.cell).start)
+        scenario.later(NOTICE, endpoint.kill)
+        scenario.later(NOTICE + ms(4000), scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start)
     return ms(8000)
 
 
 @fault
-def scale_out(day: 'open_days.Day') -> datetime.timedelta:
+def scale_out(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """More endpoints, one after another."""
-    service = day.rng.choice(sorted(terms.SERVICES))
+    service = scenario.rng.choice(sorted(terms.SERVICES))
     for number in range(3):
-        day.later(ms(700) * number, day.deployment.add_endpoint(service, day.rng.choice(day.deployment.cells)).start)
+        scenario.later(
+            ms(700) * number,
+            scenario.deployment.add_endpoint(service, scenario.rng.choice(scenario.deployment.cells)).start,
+        )
     return ms(4000)
--- a/zinctrail/simulation/faults/stale_views.py
+++ b/zinctrail/simulation/faults/stale_views.py
@@ -19,58 +19,60 @@
 
 
 def cut_off_near_endpoint(
-    day: 'days.Day', length: datetime.timedelta = CUT_SPAN
+    scenario: 'days.Scenario', length: datetime.timedelta = CUT_SPAN
 ) -> tuple[str, endpoint_actor.Endpoint]:
     """Cut a proxy off; returns its cell and an endpoint near it whose service needs no claims."""
-    cell = network_faults.cut_proxy_off(day, length).location.cell
+    cell = network_faults.cut_proxy_off(scenario, length).location.cell
     endpoints = [
-        endpoint for endpoint in day.deployment.endpoints if endpoint.up and endpoint.service not in day.shape['once']
+        endpoint
+        for endpoint in scenario.deployment.endpoints
+        if endpoint.up and endpoint.service not in scenario.shape['once']
     ]
-    anywhere = (endpoints or day.deployment.endpoints)[0]
+    anywhere = (endpoints or scenario.deployment.endpoints)[0]
     return cell, next((endpoint for endpoint in endpoints if endpoint.cell == cell), anywhere)
 
 
 @fault
-def stale_drain(day: 'days.Day') -> datetime.timedelta:
+def stale_drain(scenario: 'days.Scenario') -> datetime.timedelta:
     """An endpoint near the proxy drains."""
-    _, endpoint = cut_off_near_endpoint(day)
+    _, endpoint = cut_off_near_endpoint(scenario)
     endpoint.set_state('draining')
-    day.later(ms(9000), endpoint.kill)
-    day.later(ms(9500), endpoint.start)
+    scenario.later(ms(9000), endpoint.kill)
+    scenario.later(ms(9500), endpoint.start)
     return ms(9500)
 
 
 @fault
-def stale_gone(day: 'days.Day') -> datetime.timedelta:
+def stale_gone(scenario: 'days.Scenario') -> datetime.timedelta:
     """An endpoint near the proxy lives on, cut off from those who take its heartbeats or probe it."""
     # Longer than the other cuts: the endpoint is declared gone only once its heartbeats have been missed.
-    _, endpoint = cut_off_near_endpoint(day, ms(13000))
-    endpoint_faults.cut_heartbeats(day, endpoint)
+    _, endpoint = cut_off_near_endpoint(scenario, ms(13000))
+    endpoint_faults.cut_heartbeats(scenario, endpoint)
     return ms(14000)
 
 
 @fault
-def stale_passed_on(day: 'days.Day') -> datetime.timedelta:
+def stale_passed_on(scenario: 'days.Scenario') -> datetime.timedelta:
     """The address of an endpoint near the proxy passes to another service at once."""
-    _, endpoint = cut_off_near_endpoint(day)
-    return endpoint_faults.reuse_address(day, endpoint, ms(0))
+    _, endpoint = cut_off_near_endpoint(scenario)
+    return endpoint_faults.reuse_address(scenario, endpoint, ms(0))
 
 
 @fault
-def stale_move(day: 'days.Day') -> datetime.timedelta:
+def stale_move(scenario: 'days.Scenario') -> datetime.timedelta:
     """The pool of an endpoint near the proxy moves to another region."""
-    cell, endpoint = cut_off_near_endpoint(day)
-    far = next(other for other in day.deployment.cells if other.split('/')[0] != cell.split('/')[0])
-    operator = day.deployment.operator
+    cell, endpoint = cut_off_near_endpoint(scenario)
+    far = next(other for other in scenario.deployment.cells if other.split('/')[0] != cell.split('/')[0])
+    operator = scenario.deployment.operator
     operator.change(lambda config: config['pools'][endpoint.service].update(selector={'cell': far}))
-    day.later(ms(9000), operator.change, lambda config: config['pools'][endpoint.service].pop('selector', None))
+    scenario.later(ms(9000), operator.change, lambda config: config['pools'][endpoint.service].pop('selector', None))
     return ms(11000)
 
 
 @fault
-def stale_evacuate(day: 'days.Day') -> datetime.timedelta:
+def stale_evacuate(scenario: 'days.Scenario') -> datetime.timedelta:
     """The proxy's own cell is evacuated."""
-    cell, _ = cut_off_near_endpoint(day)
-    day.deployment.operator.evacuate(cell)
-    day.later(ms(9000), day.deployment.operator.evacuate, cell, False)
+    cell, _ = cut_off_near_endpoint(scenario)
+    scenario.deployment.operator.evacuate(cell)
+    scenario.later(ms(9000), scenario.deployment.operator.evacuate, cell, False)
     return ms(12000)
--- a/zinctrail/simulation/fingerprints.py
+++ b/zinctrail/simulation/fingerprints.py
@@ -71,9 +71,9 @@
     module = KINDS[kind]
     digest = hashlib.sha256()
     simulated_node.Node.observer = staticmethod(recorder(digest))
-    day = module.Day(seed, search.plan(seed, module), 'small', durations.ms(1000 * seconds)).run()
-    verdicts = sorted(day.verdicts())
-    return f'{kind} {seed}', f'{digest.hexdigest()[:32]} {day.world.frames} {len(verdicts)}'
+    scenario = module.Scenario(seed, search.plan(seed, module), 'small', durations.ms(1000 * seconds)).run()
+    verdicts = sorted(scenario.verdicts())
+    return f'{kind} {seed}', f'{digest.hexdigest()[:32]} {scenario.world.frames} {len(verdicts)}'
 
 
 def main(argv: list[str]) -> int:
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -14,7 +14,6 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.command as command
-import zinctrail.simulation.day as simulated_day
 import zinctrail.simulation.faults.open_control
 import zinctrail.simulation.faults.open_endpoints
 import zinctrail.simulation.faults.open_operators as open_operators
@@ -27,6 +26,7 @@
 import zinctrail.simulation.open_actors.terms as terms
 import zinctrail.simulation.open_actors.world as open_world
 import zinctrail.simulation.open_checks as open_checks
+import zinctrail.simulation.scenario as simulated_scenario
 
 ms = durations.ms
 
@@ -40,7 +40,7 @@
 CLOSING = ('power_off_all', 'wipe_after_ack', 'kill_all')
 
 
-class Day(simulated_day.Day):
+class Scenario(simulated_scenario.Scenario):
     """One seeded run: start, load, faults, a closing fault where one is named, a quiet end, read-back, verdicts."""
 
     faults = FAULTS
--- a/zinctrail/simulation/day.py
+++ b/zinctrail/simulation/scenario.py
@@ -17,7 +17,7 @@
 CLOCK_DRIFTS = (0.0, 0.0, 0.02)
 
 
-class Day:
+class Scenario:
     """One seeded run: start, load, faults, a quiet end, verdicts.
 
     Names of faults that are joined by + begin together; a name after a colon
--- a/zinctrail/simulation/search.py
+++ b/zinctrail/simulation/search.py
@@ -76,10 +76,12 @@
     kind = importlib.import_module(job.kind)
     names = job.names or plan(job.seed, kind)
     try:
-        day = kind.Day(job.seed, names, job.shape, durations.ms(1000 * job.seconds), rate=job.rate).run()
-        verdicts = day.verdicts()
-        hits = [name for group in names for name in registry.names_of(group) if name not in day.missed]
-        return Finding(job.seed, names, verdicts, day.deployment.tally(), day.replay_command(), day.figures(), hits)
+        scenario = kind.Scenario(job.seed, names, job.shape, durations.ms(1000 * job.seconds), rate=job.rate).run()
+        verdicts = scenario.verdicts()
+        hits = [name for group in names for name in registry.names_of(group) if name not in scenario.missed]
+        return Finding(
+            job.seed, names, verdicts, scenario.deployment.tally(), scenario.replay_command(), scenario.figures(), hits
+        )
     except Exception as error:
         where = traceback.format_exc().strip().splitlines()[-3].strip()
         verdict = f'broke: {type(error).__name__}: {error} at {where}'
