--- a/zinctrail/client/endpoint.py
+++ b/zinctrail/client/endpoint.py
@@ -105,7 +105,7 @@
         self.admission.state = state
         return self.send_heartbeat()
 
-    def set_warm_up(self, cold: float) -> None:
+    def set_cold(self, cold: float) -> None:
         """Set the remaining fraction of the warm-up, from 1 to 0; reported with the next heartbeat."""
         self.admission.cold = cold
 
--- a/zinctrail/fleet/replay_processes.py
+++ b/zinctrail/fleet/replay_processes.py
@@ -192,7 +192,7 @@
         if self.fleet:
             endpoints = list(self.fleet.endpoints.values())
             endpoint = endpoints[event['end'] % len(endpoints)]
-            endpoint.set_warm_up(event.get('cold', 0.0))
+            endpoint.set_cold(event.get('cold', 0.0))
             endpoint.set_state(event.get('state', 'ready'))
 
     def do_fault(self, event: dict) -> None:
