--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -145,7 +145,7 @@
         peer.accepted = max(peer.accepted or (0, 0), message.accepted)
         # A control node's report counts even if it is lower: after a restart it no longer knows what was committed.
         peer.committed = message.committed if peer.is_control_node else max(peer.committed, message.committed)
-        self.leadership.replication.note_accepted(peer)
+        self.leadership.replication.record_accepted(peer)
         self.catch_up(peer)
         self._record_response(peer, message.round)
 
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -211,7 +211,7 @@
         if not message.is_accepted and message.version == peer.sent_version:
             # Only for the last version sent: each version in flight before it is refused as well.
             peer.sent_version, peer.notified_commit = None, (0, 0)
-        self.note_accepted(peer)
+        self.record_accepted(peer)
         if not self.is_current or peer.node not in self.leadership.peers:
             return
         if peer.accepted != self.leadership.member_updates.latest_for(peer) and self._may_offer_again(peer):
@@ -223,7 +223,7 @@
         # have received.
         return peer.sent_version is None or (not peer.is_control_node and peer.sent_version == peer.accepted)
 
-    def note_accepted(self, peer: peers.Peer):
+    def record_accepted(self, peer: peers.Peer):
         """Count a member for every version up to the one that it accepted: within a term versions are linear."""
         if peer.accepted[0] != self.voter.term:
             return
--- a/zinctrail/model/guards.py
+++ b/zinctrail/model/guards.py
@@ -51,7 +51,7 @@
 ORIGINAL_ON_CANDIDACY = election.Election.on_start_join
 ORIGINAL_ON_VOTE = election.Election.on_vote
 ORIGINAL_ON_PREVOTE = election.Election.on_pre_vote_response
-ORIGINAL_NOTE_ACCEPTED = replication.Replication.note_accepted
+ORIGINAL_NOTE_ACCEPTED = replication.Replication.record_accepted
 ORIGINAL_FOLLOW = member.Member.follow
 NOTHING_ACCEPTED = (0, 0)
 
@@ -144,7 +144,7 @@
     'a version fits its base': Guard('late-copies', (Patch(replica.Replica, 'fits', accept_any_base),)),
     'a version is newer': Guard('stale-state', (Patch(replica.Replica, 'fits', accept_any_version),)),
     'answers count for their own term': Guard(
-        'succession', (Patch(replication.Replication, 'note_accepted', count_acceptance_in_any_term),)
+        'succession', (Patch(replication.Replication, 'record_accepted', count_acceptance_in_any_term),)
     ),
     'a leader of an older term is refused': Guard('succession', (Patch(member.Member, 'follow', follow_any_term),)),
     'a majority of the old voting set': Guard('voting-set', (Patch(replica, 'joint_quorum', quorum_of_new_set),)),
