--- a/zinctrail/model/__init__.py
+++ b/zinctrail/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model checker for the consensus: the product's own state machines, explored in every order of their steps."""
+"""A model checker for the consensus: explores the product's own state machines in every order of their steps."""
--- a/zinctrail/model/__main__.py
+++ b/zinctrail/model/__main__.py
@@ -3,7 +3,7 @@
 python -m zinctrail.model [--scope=NAME,...] [--guard=NAME] [--trace=FILE]
 python -m zinctrail.model --replay=FILE
 
-Prints a line for each scope: distinct states, depth, states a second and what its limits cut off.
+Prints a line for each scope: distinct states, depth, states per second, and how often each limit stopped a step.
 The exit status is 1 if an invariant was violated.
 """
 
@@ -31,7 +31,7 @@
 
 
 def define_flags() -> None:
-    """Define the flags of this command."""
+    """Define the command's flags."""
     absl.flags.DEFINE_list('scope', [], f'Scopes to explore, all by default: {", ".join(scopes.SCOPES)}.')
     absl.flags.DEFINE_enum('guard', None, list(guards.GUARDS), 'A guard to switch off, to see its invariant violated.')
     absl.flags.DEFINE_string('trace', None, 'File to write a finding to, for --replay.')
@@ -42,18 +42,18 @@
     absl.flags.DEFINE_integer('crashes', None, "Most crashes, in place of the scope's own limit.", lower_bound=0)
     absl.flags.DEFINE_integer('doubles', None, "Most frames that arrive twice, in place of the scope's own limit.")
     absl.flags.DEFINE_bool(
-        'remember', True, 'Whether to remember what an input makes of a node; off only to compare speeds.'
+        'remember', True, 'Whether to cache the result of each input of a node; off only to compare speeds.'
     )
 
 
 def with_given_limits(scope: scopes.Scope) -> scopes.Scope:
-    """A scope with the limits that were given as flags."""
+    """Return the scope with its limits replaced by those given as flags."""
     given = {field: getattr(FLAGS, flag) for flag, field in LIMIT_FLAGS.items() if getattr(FLAGS, flag) is not None}
     return dataclasses.replace(scope, limits=dataclasses.replace(scope.limits, **given))
 
 
 def explore(name: str) -> reports.Finding | None:
-    """Explore one scope, print its report, and keep a finding where --trace says so."""
+    """Explore one scope, print its report, and write a finding to the file given as --trace."""
     report = explorer.Explorer(with_given_limits(scopes.SCOPES[name]), FLAGS.remember, progress=print).run()
     print(report.text(), flush=True)
     if report.finding:
@@ -65,12 +65,12 @@
 
 
 def replay(file: str) -> reports.Finding | None:
-    """Replay the finding in a file and print what it leads to."""
-    with open(file, encoding='utf-8') as lines:
-        document = json.load(lines)
+    """Replay the finding in a file and print the violation that its steps lead to."""
+    with open(file, encoding='utf-8') as source:
+        document = json.load(source)
     with guards.switched_off(document['guard']):
         finding = explorer.replay(document)
-    print(finding.page(document['scope']) if finding else 'nothing is found any more')
+    print(finding.page(document['scope']) if finding else 'the finding no longer occurs')
     return finding
 
 
--- a/zinctrail/model/attributes.py
+++ b/zinctrail/model/attributes.py
@@ -1,7 +1,7 @@
 """Checks that attributes of product classes which the model names as strings exist.
 
-The model patches functions by name (guards) and leaves attributes out of its
-digests by name. A renaming in the product would make either silently void, so
+The model patches functions by name (guards) and excludes attributes from its
+digests by name. A rename in the product would silently disable either, so
 both tables are checked when their modules are imported.
 """
 
@@ -15,7 +15,7 @@
 
 
 class UnknownAttributeError(errors.ZinctrailError):
-    """A table of the model names an attribute that the product no longer has in this form."""
+    """A table of the model names a product attribute that no longer exists or has other parameters."""
 
     def __init__(self, owner: object, attribute: str, reason: str):
         super().__init__(f'{getattr(owner, "__name__", owner)}.{attribute}: {reason}')
@@ -32,7 +32,7 @@
 
 
 def assigned_in(owner: type) -> set[str]:
-    """The names that the source of one class assigns to `self`."""
+    """Return the names of the attributes that the source of a class assigns to `self`."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(owner)))
     return {
         node.attr
@@ -45,7 +45,7 @@
 
 
 def require_replaceable(owner: object, attribute: str, replacement: typing.Any) -> None:
-    """Raise UnknownAttributeError unless `owner` has the attribute, taking as many parameters as its replacement."""
+    """Raise UnknownAttributeError unless `owner` has the attribute, with as many parameters as its replacement."""
     if not hasattr(owner, attribute):
         raise UnknownAttributeError(owner, attribute, 'there is no such attribute to replace')
     original = getattr(owner, attribute)
--- a/zinctrail/model/cluster_state.py
+++ b/zinctrail/model/cluster_state.py
@@ -1,4 +1,4 @@
-"""A state of the whole cluster, and how it was reached."""
+"""The state of the cluster, and the steps by which it was reached."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 class UsedLimits(typing.NamedTuple):
-    """How many steps of each limited kind the way to a state took; the fields are those of scopes.Limits."""
+    """How many steps of each limited kind led to a state; the fields are those of scopes.Limits."""
 
     timers: int = 0
     crashes: int = 0
@@ -20,15 +20,16 @@
     repeated_requests: int = 0
 
     def plus(self, name: str) -> 'UsedLimits':
-        """With one more step of a kind."""
+        """Return the counts with one more step of a kind."""
         return self._replace(**{name: getattr(self, name) + 1})
 
 
 class ClusterState:
-    """The nodes, the frames in flight, and what has been promised so far.
+    """The nodes, the frames in flight, and the history of what was promised so far.
 
-    `requests` names the requests made so far, one entry for each time; `parent`
-    and `step` are the state before and the step that led here, None at the start.
+    `requests` holds the names of the requests made so far, repeated for a retry;
+    `parent` and `step` are the previous state and the step from it to this one,
+    None at the start.
     """
 
     __slots__ = ('depth', 'frames', 'history', 'nodes', 'parent', 'requests', 'step', 'used')
@@ -53,7 +54,7 @@
         self.depth = parent.depth + 1 if parent else 0
 
     def digest(self) -> bytes:
-        """Equal for states with the same futures."""
+        """Return a digest that is equal for states with the same possible continuations."""
         return digest.of_parts(
             *(node.digest for node in self.nodes),
             *sorted(frame.digest for frame in self.frames),
@@ -62,7 +63,7 @@
         )
 
     def path(self) -> list[steps.Step]:
-        """The steps from the start to this state."""
+        """Return the steps from the start to this state."""
         path, state = [], self
         while state.step is not None:
             path.append(state.step)
@@ -70,7 +71,7 @@
         return path[::-1]
 
     def in_place_of(self, state: 'ClusterState') -> 'ClusterState':
-        """This state, as if it had been reached by the step that led to `state`."""
+        """Return this state as if it had been reached by the step that led to `state`."""
         moved = ClusterState(self.nodes, self.frames, self.history, self.used, self.requests, state.parent, state.step)
         moved.depth = state.depth
         return moved
--- a/zinctrail/model/digest.py
+++ b/zinctrail/model/digest.py
@@ -1,9 +1,9 @@
 """Digests by which the explorer recognises states that it has already visited.
 
-Two machines have the same digest if they will behave alike as far as the model
-can tell: absolute times become relative ones in coarse steps, and attributes
-that have no influence on behaviour are left out. A digest that is too coarse can
-hide a finding but can not make one up, because each finding is replayed.
+Two machines have the same digest if, as far as the model can tell, they will behave
+alike: absolute times become relative ones in coarse steps, and attributes
+without influence on behaviour are excluded. A digest that is too coarse can
+hide a finding but can not produce a false one, because each finding is replayed.
 """
 
 import collections
@@ -23,8 +23,8 @@
 # Relative times are distinguished in steps of this size, and not beyond this number of steps.
 TIME_STEP = datetime.timedelta(milliseconds=400)
 TIME_STEPS_LIMIT = 8
-# Attributes without influence on what a machine does: its surroundings, counters for people, caches.
-LEFT_OUT_BY_OWNER = {
+# Attributes without influence on a machine's behaviour: its environment, counters for status pages, caches.
+EXCLUDED_BY_OWNER = {
     voter.Voter: (
         'rng',
         'request_sampler',
@@ -39,26 +39,26 @@
     ),
     bootstrap.Bootstrap: ('probe_views', 'named_seeds'),
     member_updates.MemberUpdates: ('shared_frames',),
-    # What a transfer contains follows from its versions, and its progress from its chunks.
+    # The content of a transfer follows from its versions, and its progress from its chunks.
     chunked_transfer.Content: ('_rows', '_sum'),
 }
-LEFT_OUT = frozenset(name for names in LEFT_OUT_BY_OWNER.values() for name in names)
+EXCLUDED = frozenset(name for names in EXCLUDED_BY_OWNER.values() for name in names)
 PLAIN_TYPES = frozenset((str, int, float, bool, bytes, type(None)))
 MAPPING_TYPES = frozenset((dict, collections.OrderedDict, collections.Counter, collections.defaultdict))
 SEQUENCE_TYPES = frozenset((list, tuple, collections.deque))
 SET_TYPES = frozenset((set, frozenset))
 
-for _owner, _names in LEFT_OUT_BY_OWNER.items():
+for _owner, _names in EXCLUDED_BY_OWNER.items():
     attributes.require_assigned(_owner, _names)
 
 
 def of_text(text: str) -> bytes:
-    """The digest of a text."""
+    """Return the digest of a text."""
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def of_parts(*parts: bytes) -> bytes:
-    """The digest of several byte strings, one after another."""
+    """Return the digest of several byte strings, concatenated."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(part)
@@ -66,20 +66,20 @@
 
 
 def of_machine(machine) -> bytes:
-    """The digest of a state machine, relative to its own clock."""
+    """Return the digest of a state machine, with times relative to its own clock."""
     return of_text(CanonicalText(machine.now).of(machine))
 
 
 class CanonicalText:
-    """Writes values as text so that values which differ only in the clock's absolute time get the same text."""
+    """Writes values as text, the same text for values that differ only in the clock's absolute time."""
 
     def __init__(self, now: datetime.timedelta):
         self.now = now
-        # Identities of the values that are being written, to end at references back to one of them.
+        # Ids of the values that are being written, to stop at references back to one of them.
         self.being_written: set[int] = set()
 
     def of(self, value: typing.Any) -> str:
-        """The text of any value that a machine holds; raises TypeError for a kind it does not know."""
+        """Return the text of any value that a machine holds; raises TypeError for a type without a digest."""
         kind = type(value)
         if kind in PLAIN_TYPES:
             return repr(value)
@@ -94,7 +94,7 @@
         return text
 
     def of_nested(self, kind: type, value: typing.Any) -> str:
-        """The text of a value that holds other values."""
+        """Return the text of a value that holds other values."""
         if kind in MAPPING_TYPES:
             return self.of_mapping(value)
         if kind in SEQUENCE_TYPES:
@@ -110,8 +110,8 @@
         return kind.__name__ + self.of_mapping(fields_of(value))
 
     def of_mapping(self, mapping: dict) -> str:
-        """The text of a mapping, whatever the order of its keys."""
-        # Most values are plain ones, so the check here saves most of the calls.
+        """Return the text of a mapping, independent of the order of its keys."""
+        # Most values are of plain types, so checking that here saves most calls of `of`.
         pairs = [
             f'{repr(key) if type(key) is str else self.of(key)}:{repr(item) if type(item) in PLAIN_TYPES else self.of(item)}'
             for key, item in mapping.items()
@@ -120,14 +120,14 @@
 
 
 def fields_of(value: typing.Any) -> dict[str, typing.Any]:
-    """The attributes of an object that influence behaviour."""
+    """Return the attributes of an object that influence its behaviour."""
     if isinstance(value, tuple):
         # A named tuple has neither a __dict__ nor slots that hold its fields.
         return value._asdict()
     if isinstance(value, functools.partial):
         return {'func': value.func, 'args': value.args, 'keywords': value.keywords}
     if hasattr(value, '__dict__'):
-        return {name: item for name, item in vars(value).items() if name not in LEFT_OUT}
+        return {name: item for name, item in vars(value).items() if name not in EXCLUDED}
     if hasattr(value, '__slots__'):
         owners = type(value).__mro__
         return {name: getattr(value, name, None) for owner in owners for name in getattr(owner, '__slots__', ())}
--- a/zinctrail/model/guards.py
+++ b/zinctrail/model/guards.py
@@ -1,7 +1,7 @@
-"""The guards that carry the invariants, and how each is switched off.
+"""The guards (rules of the protocol) that ensure the invariants, and the patches that switch each of them off.
 
-An invariant that holds with its guard switched off is either carried by
-something else as well, or the scope is too small to show the violation
+If an invariant holds with its guard switched off, either something else ensures
+it as well, or the scope is too small to show the violation
 (docs/notes/model.md lists these).
 """
 
@@ -24,10 +24,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Patch:
-    """Replaces one attribute of a module or class of the product.
+    """The replacement of one attribute of a module or class of the product.
 
-    Raises UnknownAttributeError at once where the product has no such attribute
-    or it takes other parameters, so that a renaming there can not void a guard.
+    Creating it raises UnknownAttributeError if the product has no such attribute
+    or it takes other parameters, so that a rename there can not silently disable a guard.
     """
 
     owner: object
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guard:
-    """A rule of the protocol: the scope in which its absence shows, and the patches that remove it."""
+    """A rule of the protocol: the patches that switch it off, and the scope in which this shows a violation."""
 
     scope: str
     patches: tuple[Patch, ...]
@@ -48,73 +48,73 @@
 
 # -- replacements ---------------------------------------------------------------
 
-ORIGINAL_ON_CANDIDACY = election.Election.on_start_join
+ORIGINAL_ON_START_JOIN = election.Election.on_start_join
 ORIGINAL_ON_VOTE = election.Election.on_vote
 ORIGINAL_ON_PREVOTE = election.Election.on_pre_vote_response
-ORIGINAL_NOTE_ACCEPTED = replication.Replication.record_accepted
+ORIGINAL_RECORD_ACCEPTED = replication.Replication.record_accepted
 ORIGINAL_FOLLOW = member.Member.follow
 NOTHING_ACCEPTED = (0, 0)
 
 
-def forget_the_vote(machine, term, vote=None):
-    """Change the term and the vote in memory only."""
+def raise_term_in_memory(machine, term, vote=None):
+    """Change the term and the vote in memory without writing them to disk."""
     machine.term, machine.vote = term, vote
     machine.election.term_raised()
 
 
-def vote_again(own_election, message):
-    """Vote for a second candidate of the same term, too."""
-    machine = own_election.voter
+def vote_twice(this_election, message):
+    """Vote for a second candidate of the same term as well."""
+    machine = this_election.voter
     if message.term == machine.term and machine.mode == 'candidate':
         machine.term -= 1
-    ORIGINAL_ON_CANDIDACY(own_election, message)
+    ORIGINAL_ON_START_JOIN(this_election, message)
 
 
 def quorum_of_one_third(nodes, configuration):
-    """Take a third of the voters for a quorum."""
+    """Treat a third of the voters as a quorum."""
     return bool(configuration) and 3 * len(set(nodes) & set(configuration)) >= len(configuration)
 
 
 def quorum_of_new_set(nodes, voting_set):
-    """Count the new voting set only."""
+    """Require a majority of the new voting set only."""
     return bool(voting_set) and replica.quorum(nodes, voting_set['accepted'])
 
 
 def quorum_of_old_set(nodes, voting_set):
-    """Count the old voting set only."""
+    """Require a majority of the old voting set only."""
     return bool(voting_set) and replica.quorum(nodes, voting_set['committed'])
 
 
-def count_any_vote(own_election, message):
-    """Count a vote also from a voter that has accepted more than the candidate."""
-    ORIGINAL_ON_VOTE(own_election, dataclasses.replace(message, accepted=NOTHING_ACCEPTED))
+def count_any_vote(this_election, message):
+    """Count votes even from voters that have accepted a newer version than the candidate."""
+    ORIGINAL_ON_VOTE(this_election, dataclasses.replace(message, accepted=NOTHING_ACCEPTED))
 
 
-def count_any_prevote(own_election, message):
-    """Count a pre-vote also from a voter that has accepted more than the candidate."""
-    ORIGINAL_ON_PREVOTE(own_election, dataclasses.replace(message, accepted=NOTHING_ACCEPTED))
+def count_any_prevote(this_election, message):
+    """Count pre-votes even from voters that have accepted a newer version than the candidate."""
+    ORIGINAL_ON_PREVOTE(this_election, dataclasses.replace(message, accepted=NOTHING_ACCEPTED))
 
 
 def accept_any_base(self, version, base, full):
-    """Accept a change on top of whatever was accepted before."""
+    """Accept a change even if its base is not the accepted version."""
     return version > self.accepted
 
 
 def accept_any_version(self, version, base, full):
-    """Accept a version that is older than the accepted one."""
+    """Accept a version even if it is older than the accepted one."""
     return full or base == self.accepted
 
 
 def count_acceptance_in_any_term(self, peer):
-    """Count what a member accepted in another term as accepted in this one."""
+    """Count a version that a member accepted in another term as if it was accepted in this one."""
     accepted = peer.accepted
     peer.accepted = (self.voter.term, accepted[1])
-    ORIGINAL_NOTE_ACCEPTED(self, peer)
+    ORIGINAL_RECORD_ACCEPTED(self, peer)
     peer.accepted = accepted
 
 
 def fence_without_quorum(machine, callback):
-    """Confirm the leadership without asking anybody."""
+    """Confirm the leadership without asking a quorum."""
     callback(True)
 
 
@@ -124,7 +124,7 @@
 
 
 def apply_any_item_version(txn, change):
-    """Let the last change win, also one with an equal or a lower version."""
+    """Apply every change of an item, even with an equal or a lower version."""
     for key, version, row in configuration_items.to_changes(change):
         txn.put('items', key, {'v': version, 'row': row})
     return {'status': 200, 'took': 1, 'generation': txn.generation}
@@ -136,8 +136,8 @@
 COUNT_ANY_PREVOTE = Patch(election.Election, 'on_pre_vote_response', count_any_prevote)
 
 GUARDS = {
-    'vote on disk': Guard('elections', (Patch(voter.Voter, 'raise_term', forget_the_vote),)),
-    'one vote a term': Guard('elections', (Patch(election.Election, 'on_start_join', vote_again),)),
+    'vote on disk': Guard('elections', (Patch(voter.Voter, 'raise_term', raise_term_in_memory),)),
+    'one vote a term': Guard('elections', (Patch(election.Election, 'on_start_join', vote_twice),)),
     'majority': Guard('elections', (Patch(replica, 'quorum', quorum_of_one_third),)),
     'votes from those behind only': Guard('new-leader', (COUNT_ANY_VOTE,)),
     'votes and pre-votes from those behind only': Guard('new-leader', (COUNT_ANY_VOTE, COUNT_ANY_PREVOTE)),
@@ -159,7 +159,7 @@
 
 @contextlib.contextmanager
 def switched_off(name: str | None) -> collections.abc.Iterator[None]:
-    """A context in which the named guard is off; all are on where `name` is empty."""
+    """A context in which the named guard is off; all guards are on if `name` is empty."""
     with contextlib.ExitStack() as stack:
         for patch in GUARDS[name].patches if name else ():
             stack.enter_context(unittest.mock.patch.object(patch.owner, patch.attribute, patch.replacement))
--- a/zinctrail/model/invariants.py
+++ b/zinctrail/model/invariants.py
@@ -1,6 +1,6 @@
-"""What must hold in every state, each invariant under the name that the field gives it.
+"""The invariants that must hold in every state, under the names usual in the literature.
 
-An invariant is a function that returns what contradicts it, or an empty text.
+An invariant is a function that returns a description of its violation, or an empty text.
 """
 
 import collections.abc
@@ -11,7 +11,7 @@
 
 import zinctrail.model.digest as digest
 
-# Statuses that promise that nothing was done and nothing will be.
+# Statuses that promise that the request was not carried out and will not be.
 REFUSALS = (421, 429, 503)
 # The version of a node that has committed nothing yet.
 NOTHING_COMMITTED = (0, 0)
@@ -19,13 +19,13 @@
 
 @functools.cache
 def digest_of(history: 'History') -> bytes:
-    """The digest of what was promised."""
+    """Return the digest of a history."""
     return digest.of_text(repr([sorted(map(repr, rows)) for rows in vars(history).values()]))
 
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """What was promised on the way to a state and no longer shows in it."""
+    """Events on the way to a state that later states must not contradict, such as votes, commits and responses."""
 
     # (term, node)
     leaders: frozenset = frozenset()
@@ -33,9 +33,9 @@
     votes: frozenset = frozenset()
     # (version, term, digest of the tables in force)
     committed: frozenset = frozenset()
-    # (request, term of the node that answered)
+    # (request, term of the node that responded)
     acknowledged: frozenset = frozenset()
-    # Requests answered with the promise that nothing was done and nothing will be.
+    # Requests refused with the promise that they were not carried out and will not be.
     refused: frozenset = frozenset()
     # (read, requests acknowledged before it was made)
     reads: frozenset = frozenset()
@@ -43,11 +43,11 @@
     items: frozenset = frozenset()
 
     def digest(self) -> bytes:
-        """Equal for equal histories."""
+        """Return a digest that is equal for equal histories."""
         return digest_of(self)
 
     def add(self, **additions: collections.abc.Iterable) -> 'History':
-        """The history with further elements; itself where it has them all."""
+        """Return the history with further elements; itself if it has them all."""
         grown = {name: getattr(self, name) | set(elements) for name, elements in additions.items()}
         if all(len(elements) == len(getattr(self, name)) for name, elements in grown.items()):
             return self
@@ -55,7 +55,7 @@
 
 
 def observe(history: History, result, requests: dict[str, typing.Any]) -> History:
-    """The history after a step with this result of a node."""
+    """Return the history after a step with this result of a node."""
     view = result.state.view
     if view.mode == 'leader':
         history = history.add(leaders={(view.term, view.node)})
@@ -74,14 +74,14 @@
 
 
 def vote_of(frame) -> tuple[str, int, str]:
-    """(voter, term, candidate) of a frame that grants a vote; a candidate votes for itself."""
+    """Return (voter, term, candidate) of a frame that grants a vote; a candidate votes for itself."""
     message = json.loads(frame.text)
-    candidate = message['f'] if frame.kind == 'sjoin' else f'place {frame.target}'
+    candidate = message['f'] if frame.kind == 'sjoin' else f'node {frame.target}'
     return message['f'], message['term'], candidate
 
 
 def observe_response(history: History, view, request, result: dict[str, typing.Any]) -> History:
-    """The history after a node's response to a request."""
+    """Return the history after a node's response to a request."""
     if request.is_read:
         return history
     if result['status'] == 200:
@@ -92,10 +92,10 @@
 
 
 def first_violation(state, responses, requests, voters: int) -> tuple[str, str] | None:
-    """(name, what contradicts it) of the first invariant that does not hold; None where all hold.
+    """Return (name, reason) of the first invariant that does not hold; None if all hold.
 
-    `responses` are those of the step that led to the state. `voters` is 0 where
-    some nodes lose their disks, so that nothing can be said about majorities.
+    `responses` are those of the step that led to the state. `voters` is the number of
+    voters, or 0 if nodes may lose their disks and majorities can not be checked.
     """
     for check in (
         election_safety,
@@ -119,7 +119,7 @@
 
 
 def contradiction(pairs: collections.abc.Iterable[tuple]) -> tuple | None:
-    """(key, value, other value) of the first key that stands for two values; None if there is none."""
+    """Return (key, value, other value) of the first key with two different values; None if there is none."""
     seen = {}
     for key, value in pairs:
         if seen.setdefault(key, value) != value:
@@ -128,67 +128,65 @@
 
 
 def election_safety(state) -> str:
-    """At most one leader a term."""
+    """There is at most one leader per term."""
     found = contradiction(state.history.leaders)
     return f'term {found[0]} has two leaders, {found[1]} and {found[2]}' if found else ''
 
 
 def one_vote_a_term(state) -> str:
-    """A node votes for one candidate a term, also over a restart."""
+    """A node votes for at most one candidate per term, even across a restart."""
     found = contradiction(((node, term), chosen) for node, term, chosen in state.history.votes)
     return f'{found[0][0]} voted in term {found[0][1]} for {found[1]} and {found[2]}' if found else ''
 
 
 def state_machine_safety(state) -> str:
-    """One committed version for each number, with one content, on all nodes."""
+    """All nodes commit the same version, with the same content, under each version number."""
     found = contradiction((version, (term, content)) for version, term, content in state.history.committed)
     if not found:
         return ''
-    return (
-        f'version {found[0]} was committed as of term {found[1][0]} and as of term {found[2][0]}, or with two contents'
-    )
+    return f'version {found[0]} was committed in term {found[1][0]} and in term {found[2][0]}, or with two contents'
 
 
 def one_content_a_version(state) -> str:
-    """An item's version stands for one content for ever."""
+    """A version of an item never has two contents."""
     found = contradiction(((key, version), content) for key, version, content in state.history.items)
     return f'{found[0][0]} version {found[0][1]} was in force with two contents' if found else ''
 
 
 def refused_is_not_done(state) -> str:
-    """What was refused with the promise that nothing will be done comes into force nowhere."""
+    """A request refused with the promise that it is not carried out takes effect on no node."""
     for node in state.nodes:
-        # A refusal of one copy says nothing of another copy.
+        # Only requests made once count: the refusal of one copy of a request says nothing about another copy.
         once = {name for name in state.history.refused if state.requests.count(name) == 1}
         done = node.view.committed_requests & once
         if done and not node.is_stopped:
-            return f'{sorted(done)} were refused and are in force on {node.view.node}'
+            return f'{sorted(done)} were refused but took effect on {node.view.node}'
     return ''
 
 
 def log_matching(state) -> str:
-    """Nodes that accepted the same version of the same term hold the same."""
+    """Nodes that accepted the same version of the same term have the same content."""
     found = contradiction(
         (node.view.accepted, node.view.accepted_content) for node in state.nodes if not node.is_stopped
     )
     return f'{found[0]} is accepted with two contents' if found else ''
 
 
-def lacks(view, term: int, version: int) -> bool:
-    """Whether a leader can't hold a version that was committed."""
+def is_missing(view, term: int, version: int) -> bool:
+    """True if a leader can't have a version that was committed."""
     if view.accepted[0] == view.term > term:
-        # It began its own line of versions from where it stood, and must have stood there.
+        # Its own versions continue from those it had when it became the leader, which must include this one.
         return view.accepted[1] <= version
     return view.term >= term and view.accepted < (term, version)
 
 
 def leader_completeness(state) -> str:
-    """Whoever leads holds all that was committed or acknowledged in its term and before."""
+    """A leader has every version committed, and every request acknowledged, in its term or before."""
     for node in state.nodes:
         if node.view.mode != 'leader':
             continue
         for version, term, _ in state.history.committed:
-            if lacks(node.view, term, version):
+            if is_missing(node.view, term, version):
                 return f'{node.view.node} leads term {node.view.term} without {(term, version)}, which was committed'
         for name, term in state.history.acknowledged:
             if node.view.term >= term and name not in node.view.accepted_requests:
@@ -197,25 +195,28 @@
 
 
 def durability(state, voters: int) -> str:
-    """What was committed or acknowledged is held by a majority of the voters; `voters` is 0 where some lose disks."""
+    """A majority of the voters has every committed version and acknowledged request.
+
+    Not checked if `voters` is 0, which means that nodes may lose their disks.
+    """
     for version, term, _ in state.history.committed if voters else ():
         holders = sum(node.view.accepted >= (term, version) for node in state.nodes)
         if 2 * holders <= voters:
-            return f'{(term, version)} was committed and is held by {holders} of {voters} voters'
+            return f'{(term, version)} was committed but is held by {holders} of {voters} voters'
     for name, _ in state.history.acknowledged if voters else ():
         holders = sum(name in node.view.accepted_requests for node in state.nodes)
         if 2 * holders <= voters:
-            return f'{name} was acknowledged and is held by {holders} of {voters} voters'
+            return f'{name} was acknowledged but is held by {holders} of {voters} voters'
     return ''
 
 
 def fresh_reads(state, responses, requests) -> str:
-    """A read shows all that was acknowledged before it was made."""
+    """A read returns every write that was acknowledged before the read was made."""
     for name, text in responses:
         result = json.loads(text)
         if requests[name].is_read and result['status'] == 200:
             for read, before in state.history.reads:
                 missing = [r for r in before if read == name and not requests[r].is_shown_by(result)]
                 if missing:
-                    return f'{name} was answered without {sorted(missing)}, acknowledged before it was made'
+                    return f'{name} returned without {sorted(missing)}, acknowledged before it was made'
     return ''
--- a/zinctrail/model/operator_requests.py
+++ b/zinctrail/model/operator_requests.py
@@ -1,4 +1,4 @@
-"""Requests that an operator puts to a node while a cluster is explored."""
+"""Requests that an operator sends to a node while a cluster is explored."""
 
 import dataclasses
 import json
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """An operator's request: its operation, the arguments as JSON, and the nodes (indexes) that it may be put to."""
+    """An operator's request: its operation, the arguments as JSON, and the nodes (indexes) that it may be sent to."""
 
     name: str
     operation: str
@@ -18,11 +18,11 @@
 
     @property
     def is_read(self) -> bool:
-        """Whether it changes nothing."""
+        """True if the request changes nothing."""
         return self.operation in ('get', 'items.get')
 
     def is_held_by(self, tables: dict[str, typing.Any]) -> bool:
-        """Whether the effect of this request is in a state."""
+        """True if the effect of this request, or of a newer one on the same items, is in the tables."""
         arguments = json.loads(self.arguments)
         if self.operation == 'put':
             return tables.get('keys', {}).get(arguments['key']) == arguments['value']
@@ -35,7 +35,7 @@
         return False
 
     def is_written_in(self, tables: dict[str, typing.Any]) -> bool:
-        """Whether a state holds what this request, and no other, wrote."""
+        """True if the tables hold exactly what this request wrote."""
         if self.operation != 'items.apply':
             return self.is_held_by(tables)
         items = tables.get('items', {})
@@ -43,23 +43,23 @@
         return all(items.get(key) == {'v': version, 'row': row} for key, version, row in rows)
 
     def is_shown_by(self, result: dict[str, typing.Any]) -> bool:
-        """Whether the effect of this request is in the result of a read."""
+        """True if the result of a read includes the effect of this request."""
         arguments = json.loads(self.arguments)
         return self.operation != 'put' or result['keys'].get(arguments['key']) == arguments['value']
 
 
 def put(key: str, *nodes: int) -> Request:
-    """Writes a key, with its name as its value."""
+    """Return a request that writes a key, with its name as its value."""
     return Request(f'put {key}', 'put', json.dumps({'key': key, 'value': key}), nodes)
 
 
 def get(*nodes: int) -> Request:
-    """Reads all keys."""
+    """Return a request that reads all keys."""
     return Request('get', 'get', '{}', nodes)
 
 
 def apply_items(operator: str, version: int, timeout_ms: int, *nodes: int) -> Request:
-    """Applies a rule of a version; the operators differ in the timeout (milliseconds) that they give it."""
+    """Return a request that applies a version of a rule; operators differ in the timeout (milliseconds) they set."""
     rule = {
         'name': 'rule',
         'version': version,
--- a/zinctrail/model/preludes.py
+++ b/zinctrail/model/preludes.py
@@ -1,6 +1,6 @@
-"""Preludes: legal schedules that lead from a scope's start to where its exploration begins.
+"""Preludes: legal schedules that lead from a formed cluster to the state where a scope's exploration begins.
 
-Places are positions in the order of the nodes at the start: 0 is the leader, 1
+Nodes are given by their position in the order at the start: 0 is the leader, 1
 and up are the followers.
 """
 
@@ -17,24 +17,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunUntil:
-    """Let everything happen in order, with nothing lost, until the milestone is reached."""
+    """Deliver all frames and fire all timers in order, without losses, until the milestone is reached."""
 
     milestone: Milestone
 
 
 @dataclasses.dataclass(frozen=True)
 class TimersUntil:
-    """Let only the timers of one node fire until its milestone is reached."""
+    """Fire only the timers of one node until the milestone is reached."""
 
-    place: int
+    position: int
     milestone: NodeMilestone
 
 
 @dataclasses.dataclass(frozen=True)
 class PutRequest:
-    """Put a request to one node."""
+    """Send an operator's request to one node."""
 
-    place: int
+    position: int
     request: str
 
 
@@ -50,28 +50,28 @@
 Move = RunUntil | TimersUntil | PutRequest | DeliverFrames
 
 
-def has_lost_its_leader(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
-    """Whether a node has become a candidate."""
+def is_candidate(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
+    """True if a node has become a candidate, because it lost contact with its leader."""
     return node.view.mode == 'candidate'
 
 
-def stands_for_election(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
-    """Whether a node's requests for votes are in flight."""
-    return sends(state, node, 'sjoin')
+def requests_votes(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
+    """True if a node's vote requests are in flight."""
+    return sends_frame(state, node, 'sjoin')
 
 
-def publishes(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
-    """Whether changes of a node are in flight to the others."""
-    return sends(state, node, 'pub')
+def sends_publication(state: cluster_state.ClusterState, node: node_states.NodeState) -> bool:
+    """True if publications of a node are in flight to the others."""
+    return sends_frame(state, node, 'pub')
 
 
-def sends(state: cluster_state.ClusterState, node: node_states.NodeState, kind: str) -> bool:
-    """Whether frames of a kind from a node are in flight."""
+def sends_frame(state: cluster_state.ClusterState, node: node_states.NodeState, kind: str) -> bool:
+    """True if frames of a kind from a node are in flight."""
     return any(frame.kind == kind and frame.source == node.index for frame in state.frames)
 
 
 def voting_set_is_changing(state: cluster_state.ClusterState) -> bool:
-    """Whether a change of the voting configuration is being published."""
+    """True if a change of the voting configuration is in flight."""
     return any(
         row[:2] == ['meta', 'vc']
         for frame in state.frames
@@ -80,17 +80,17 @@
     )
 
 
-# Another leader, elected by one node, of which the old one does not know.
-LEADER_DEPOSED_UNAWARES: tuple[Move, ...] = (
-    TimersUntil(1, has_lost_its_leader),
-    TimersUntil(2, has_lost_its_leader),
-    TimersUntil(1, stands_for_election),
+# Node 1 is elected leader with the vote of node 2, and the old leader does not know it.
+LEADER_SUPERSEDED_UNNOTICED: tuple[Move, ...] = (
+    TimersUntil(1, is_candidate),
+    TimersUntil(2, is_candidate),
+    TimersUntil(1, requests_votes),
     DeliverFrames('sjoin', 1, 2),
     DeliverFrames('vote', 2, 1),
 )
-# As above, with a change that the old leader has accepted alone and sent to nobody.
-CHANGE_UNSENT_THEN_DEPOSED: tuple[Move, ...] = (
+# The same after a change that the old leader has accepted itself and whose publication no other node has received.
+UNDELIVERED_CHANGE_THEN_SUPERSEDED: tuple[Move, ...] = (
     PutRequest(0, 'put x'),
-    TimersUntil(0, publishes),
-    *LEADER_DEPOSED_UNAWARES,
+    TimersUntil(0, sends_publication),
+    *LEADER_SUPERSEDED_UNNOTICED,
 )
--- a/zinctrail/model/reports.py
+++ b/zinctrail/model/reports.py
@@ -1,4 +1,4 @@
-"""What an exploration reports: its size, what it reached, and the violation that it found."""
+"""The report of an exploration: its size, the events it reached, and the violation that it found."""
 
 import collections
 import dataclasses
@@ -10,20 +10,20 @@
 
 @dataclasses.dataclass
 class Finding:
-    """A violated invariant, what contradicts it, and the steps that lead there."""
+    """A violated invariant, the reason, and the steps that lead to the violation."""
 
     invariant: str
     reason: str
     steps: list[steps.Step]
 
     def page(self, scope: str) -> str:
-        """The finding as text for a reader."""
+        """Return the finding as text for a reader."""
         rows = [f'{self.invariant}: {self.reason}', f'scope {scope}, {len(self.steps)} steps:']
         rows += [f'{number:3}. {step.describe()}' for number, step in enumerate(self.steps, 1)]
         return '\n'.join(rows)
 
     def document(self, scope: str, guard: str | None = None) -> dict[str, typing.Any]:
-        """The finding as JSON, from which it can be replayed; `guard` is the one that was switched off."""
+        """Return the finding as a JSON document that can be replayed; `guard` is the guard that was switched off."""
         return {
             'scope': scope,
             'guard': guard,
@@ -46,13 +46,13 @@
     node_states: int = 0
     inputs_played: int = 0
     finding: Finding | None = None
-    # In how many states something had happened: an exploration in which nothing happens shows nothing.
+    # The number of states by which each event had happened: an exploration that reaches no event proves nothing.
     reached: collections.Counter = dataclasses.field(default_factory=collections.Counter)
-    # How often a limit stopped something: {limit: count}.
+    # How often a limit stopped a step or a state: {limit: count}.
     cut_off: collections.Counter = dataclasses.field(default_factory=collections.Counter)
 
     def text(self) -> str:
-        """The report as one line."""
+        """Return the report as one line."""
         rate = self.states / self.seconds if self.seconds else 0
         found = f'FOUND {self.finding.invariant}' if self.finding else 'nothing found'
         return (
@@ -62,8 +62,8 @@
             f' cut off by {dict(sorted(self.cut_off.items()))}'
         )
 
-    def note_reached(self, state: cluster_state.ClusterState) -> None:
-        """Count what has happened on the way to a state."""
+    def count_reached(self, state: cluster_state.ClusterState) -> None:
+        """Count the events that have happened on the way to a state."""
         reached, history = self.reached, state.history
         leading = sum(node.view.mode == 'leader' for node in state.nodes)
         reached['leader'] += leading > 0
--- a/zinctrail/model/roles.py
+++ b/zinctrail/model/roles.py
@@ -1,4 +1,4 @@
-"""The machines that are explored: the product's own, with an input for an operator's request."""
+"""The state machines that are explored: the product's own, with an input for operator requests."""
 
 import collections.abc
 import dataclasses
@@ -12,32 +12,32 @@
 import zinctrail.runtime.settings as settings
 
 CLUSTER = 'cluster'
-# The term, and the (term, version), that a formed cluster starts from.
+# The term and the (term, version) with which a formed cluster starts.
 FORMED_TERM = 1
 FORMED_AT = (1, 1)
 
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """Effect: the result that a node gave to an operator's request."""
+    """An effect: the result of an operator's request, as its node returned it."""
 
     request: str
     result: dict[str, typing.Any]
 
 
-class OperatedMixin:
-    """Adds the input `request`: an operator asks this node for an operation."""
+class OperatorRequestMixin:
+    """Adds the input `request`: an operator requests an operation from this node."""
 
     def on_request(self, name: str, operation: str, arguments: dict[str, typing.Any]) -> None:
-        """Ask for the operation, and give its result as an effect."""
+        """Request the operation, and emit its result as an effect."""
         self.request_operation(operation, arguments, lambda result: self.out.append(Response(name, result)))
 
 
-class Store(OperatedMixin, voter.Voter):
-    """A voter whose role is the smallest there can be: a table of keys."""
+class Store(OperatorRequestMixin, voter.Voter):
+    """A voter with a minimal role: a table of keys."""
 
     def serve(self, op, args, cb):
-        """The operations `put` and `get`, besides those of every voter."""
+        """Serve the operations `put` and `get`, besides those of every voter."""
         if op == 'put':
 
             def put(txn):
@@ -51,40 +51,43 @@
             super().serve(op, args, cb)
 
     def tick_leader(self):
-        """A leader's regular duties: to keep the voting configuration fitting."""
+        """Adjust the voting configuration, the only periodic task of this leader."""
         self.reconfigure()
 
 
-class Control(OperatedMixin, controller.Controller):
+class Control(OperatorRequestMixin, controller.Controller):
     """The product's control node."""
 
 
 class FixedRandom(random.Random):
-    """Always the middle of a range, so that a step has one result; identities differ between incarnations."""
+    """A generator that always returns the middle of a range, so that each step has one result.
+
+    Its seed makes the identities of incarnations differ.
+    """
 
     def random(self) -> float:
-        """The middle of the range."""
+        """Return the middle of the range."""
         return 0.5
 
 
 def name_of(index: int) -> str:
-    """The identity of a node of a formed cluster."""
+    """Return the identity of a node of a formed cluster."""
     return f'n{index}'
 
 
 def address_of(index: int) -> str:
-    """The address at which other nodes reach a node."""
+    """Return the address at which other nodes reach a node."""
     return f'10.0.0.{index + 1}:1000'
 
 
 def build(role: type, index: int, incarnation: int, files: dict[str, str], seeds: list[str]):
-    """A machine of a role at its start; raises CorruptionError where the files do not fit together."""
+    """Return a new machine of a role; raises CorruptionError if the files are inconsistent."""
     location = node_location.NodeLocation(address_of(index), f'10.0.0.{index + 1}:80', f'r{index}/c', list(seeds))
     return role(location, settings.Settings(), FixedRandom(f'{index}/{incarnation}'), dict(files))
 
 
 def formed_files(index: int, voters: collections.abc.Iterable[int]) -> dict[str, str]:
-    """The data folder of one of the voters (indexes) of a cluster that has been formed."""
+    """Return the data folder of one of the voters (indexes) of a cluster that has been formed."""
     names = [name_of(voter_index) for voter_index in voters]
     members = {name_of(voter_index): member_row(voter_index) for voter_index in voters}
     meta = {
@@ -103,5 +106,5 @@
 
 
 def member_row(index: int) -> dict[str, typing.Any]:
-    """The row of a node in the membership table."""
+    """Return the row of a node in the membership table."""
     return {'role': 'core', 'addr': address_of(index), 'http': '', 'cell': f'r{index}/c', 'level': 1}
--- a/zinctrail/model/scopes.py
+++ b/zinctrail/model/scopes.py
@@ -1,4 +1,4 @@
-"""Scopes: where an exploration starts, which steps it takes, and how many of each."""
+"""Scopes: the start state of an exploration, the kinds of its steps, and the limit of each kind."""
 
 import dataclasses
 
@@ -6,10 +6,10 @@
 import zinctrail.model.preludes as preludes
 import zinctrail.model.roles as roles
 
-# Kinds of frames, by what they serve.
+# Kinds of frames, grouped by purpose.
 ELECTION = frozenset(('sjoin', 'vote', 'succeed', 'down'))
 REPLICATION = frozenset(('pub', 'pub_re', 'com'))
-# Replication without the frames that only speed up the notice of a commit.
+# Replication without the frames that only speed up the notification of a commit.
 PUBLICATION = frozenset(('pub', 'pub_re'))
 # Heartbeats, which also fence reads.
 HEARTBEAT = frozenset(('chk', 'chk_re'))
@@ -23,9 +23,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """How many steps of each kind one way may take, and where an exploration ends."""
+    """The largest number of steps of each kind on one path, and the bounds of the exploration."""
 
-    # Times that a node's timers fire.
+    # Steps in which a node's timers fire.
     timers: int = 0
     # Restarts on the synced data folder.
     crashes: int = 0
@@ -33,17 +33,17 @@
     power_loss_between_writes: bool = False
     # Restarts on an empty data folder.
     wipes: int = 0
-    # Nodes lost for good.
+    # Nodes lost permanently.
     losses: int = 0
     # Nodes told to stop.
     shutdowns: int = 0
     # Frames that arrive twice.
     duplicates: int = 0
-    # Requests that are made twice.
+    # Requests that are retried.
     repeated_requests: int = 0
-    # Whether nodes see a connection close.
+    # Whether nodes are notified when a connection closes.
     closed_connections: bool = False
-    # Exploration ends beyond this term, this number of steps, and this number of distinct states.
+    # Exploration stops beyond this term, this number of steps on a path, and this number of distinct states.
     term: int = 4
     depth: int = 40
     states: int = 50000
@@ -51,23 +51,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scope:
-    """An exploration: the cluster it starts from, the frames and steps it has, and its limits."""
+    """An exploration: the cluster it starts from, its frames and requests, and its limits."""
 
     name: str
     description: str
     limits: Limits
-    # Kinds of frames that are in flight until a step delivers them; those not named are lost.
+    # Kinds of frames that stay in flight until a step delivers them; frames of other kinds are lost.
     frames: frozenset[str]
-    # Kinds that arrive within the step that sends them, which is one of the legal schedules.
-    prompt: frozenset[str] = DISCOVERY | PREVOTES
+    # Kinds of frames that are delivered within the step that sends them, which is one of the legal schedules.
+    delivered_at_once: frozenset[str] = DISCOVERY | PREVOTES
     role: type = roles.Store
     voters: int = 3
     # Nodes that have not joined yet.
     spares: int = 0
     requests: tuple[operator_requests.Request, ...] = ()
-    # What is done before the exploration, at no cost to the limits.
+    # Moves made before the exploration, which don't count against the limits.
     prelude: tuple[preludes.Move, ...] = ()
-    # Whether it starts with a leader whose changes all have; else all are candidates that know each other.
+    # True: starts with a leader whose changes all nodes have; False: with candidates that know each other.
     starts_with_leader: bool = False
 
 
@@ -94,55 +94,55 @@
         ),
         Scope(
             'new-leader',
-            'a leader with a change, which two nodes have lost contact with',
+            'a leader and a change, after two nodes have lost contact with the leader',
             Limits(timers=3, term=3, states=7000),
             ELECTION | PUBLICATION,
             requests=(operator_requests.put('x', 0, 1, 2),),
             starts_with_leader=True,
             prelude=(
-                preludes.TimersUntil(1, preludes.has_lost_its_leader),
-                preludes.TimersUntil(2, preludes.has_lost_its_leader),
+                preludes.TimersUntil(1, preludes.is_candidate),
+                preludes.TimersUntil(2, preludes.is_candidate),
             ),
         ),
         Scope(
             'succession',
-            'a change that the old leader has sent to nobody yet, a new leader and a change to it',
+            'a change by the old leader that no other node has received yet, a new leader and a change by it',
             Limits(timers=2, term=3, states=9000),
             PUBLICATION | HEARTBEAT,
             requests=(operator_requests.put('x', 0, 1, 2), operator_requests.put('y', 0, 1, 2)),
             starts_with_leader=True,
-            prelude=preludes.CHANGE_UNSENT_THEN_DEPOSED,
+            prelude=preludes.UNDELIVERED_CHANGE_THEN_SUPERSEDED,
         ),
         Scope(
             'late-copies',
-            'a new leader and a change to it, where one frame arrives twice',
+            'a new leader and a change by it, where one frame arrives twice',
             Limits(timers=1, duplicates=1, term=3, states=8000),
             PUBLICATION,
             requests=(operator_requests.put('x', 0, 1, 2),),
             starts_with_leader=True,
-            prelude=preludes.LEADER_DEPOSED_UNAWARES,
+            prelude=preludes.LEADER_SUPERSEDED_UNNOTICED,
         ),
         Scope(
             'stale-state',
-            'a deposed leader is sent the whole state, where one frame arrives twice, and a change follows',
+            'a superseded leader is sent the full state, where one frame arrives twice, and a change follows',
             Limits(timers=1, duplicates=1, term=3, states=18000),
             PUBLICATION,
             requests=(operator_requests.put('x', 0), operator_requests.put('y', 1)),
             starts_with_leader=True,
-            prelude=preludes.CHANGE_UNSENT_THEN_DEPOSED,
+            prelude=preludes.UNDELIVERED_CHANGE_THEN_SUPERSEDED,
         ),
         Scope(
             'reads',
-            'a leader deposed without its knowledge, a change put to the new one and a read to the old',
+            'a leader superseded without its knowledge, a change sent to the new leader and a read sent to the old',
             Limits(timers=2, term=3, states=6000),
             PUBLICATION | HEARTBEAT,
             requests=(operator_requests.put('x', 1, 2), operator_requests.get(0)),
             starts_with_leader=True,
-            prelude=preludes.LEADER_DEPOSED_UNAWARES,
+            prelude=preludes.LEADER_SUPERSEDED_UNNOTICED,
         ),
         Scope(
             'wipe-and-loss',
-            'a leader with a change, one node wiped, another lost for good',
+            'a leader and a change, one node wiped, another lost permanently',
             Limits(timers=4, wipes=1, losses=1, term=4, states=4000),
             ELECTION | PUBLICATION | MEMBERSHIP,
             requests=(operator_requests.put('x', 0, 1, 2),),
@@ -150,7 +150,7 @@
         ),
         Scope(
             'leave-and-loss',
-            'a leader with a change, one node told to stop, another lost for good, connections seen to close',
+            'a leader and a change, one node shut down, another lost permanently, notice of closed connections',
             Limits(timers=4, shutdowns=1, losses=1, closed_connections=True, term=4, states=5000),
             ELECTION | PUBLICATION | MEMBERSHIP,
             requests=(operator_requests.put('x', 0, 1, 2),),
@@ -158,21 +158,21 @@
         ),
         Scope(
             'voting-set',
-            'two more are taken into the voting set while two of the other nodes elect another leader',
+            'two nodes are added to the voting set while two of the others elect another leader',
             Limits(timers=0, term=3, states=12000),
             ELECTION | PUBLICATION,
             spares=2,
             starts_with_leader=True,
             prelude=(
                 preludes.RunUntil(preludes.voting_set_is_changing),
-                preludes.TimersUntil(1, preludes.has_lost_its_leader),
-                preludes.TimersUntil(2, preludes.has_lost_its_leader),
-                preludes.TimersUntil(1, preludes.stands_for_election),
+                preludes.TimersUntil(1, preludes.is_candidate),
+                preludes.TimersUntil(2, preludes.is_candidate),
+                preludes.TimersUntil(1, preludes.requests_votes),
             ),
         ),
         Scope(
             'voting-set-cut',
-            'two more are taken into the voting set, and a node loses power in the middle',
+            'two nodes are added to the voting set, and a node loses power in the middle',
             Limits(timers=2, crashes=1, power_loss_between_writes=True, term=3, states=12000),
             ELECTION | PUBLICATION,
             spares=2,
@@ -181,7 +181,7 @@
         ),
         Scope(
             'one-number',
-            'two operators give one version two contents, one asks again because its response is lost',
+            'two operators give one version two contents, and one retries because its response is lost',
             Limits(timers=2, repeated_requests=1, term=3, states=5000),
             PUBLICATION,
             role=roles.Control,
@@ -190,7 +190,7 @@
                 operator_requests.apply_items('B', 1, 2000, 0, 1, 2),
             ),
             starts_with_leader=True,
-            prelude=(preludes.PutRequest(0, 'apply of A'), preludes.TimersUntil(0, preludes.publishes)),
+            prelude=(preludes.PutRequest(0, 'apply of A'), preludes.TimersUntil(0, preludes.sends_publication)),
         ),
     )
 }
--- a/zinctrail/model/start_state.py
+++ b/zinctrail/model/start_state.py
@@ -1,4 +1,4 @@
-"""The state that a scope's exploration begins with, reached by one legal schedule."""
+"""The start state of a scope's exploration, reached by one legal schedule."""
 
 import collections
 
@@ -12,12 +12,12 @@
 import zinctrail.model.steps as steps
 import zinctrail.model.transitions as transitions
 
-# The most steps that the way to a start state, or to a milestone of a prelude, may take.
+# The largest number of steps to a start state, or to a milestone of a prelude.
 SCHEDULE_LIMIT = 3000
 
 
 class ScopeNotReachedError(errors.ZinctrailError):
-    """A scope's start or a milestone of its prelude does not come about."""
+    """A scope's start state or a milestone of its prelude is not reached within SCHEDULE_LIMIT steps."""
 
     def __init__(self, scope: str, reason: str):
         super().__init__(f'{scope}: {reason}')
@@ -27,18 +27,18 @@
 class StartState:
     """Builds a scope's start state."""
 
-    def __init__(self, scope: scopes.Scope, moves: transitions.Transitions):
+    def __init__(self, scope: scopes.Scope, scope_transitions: transitions.Transitions):
         self.scope = scope
-        self.transitions = moves
-        self.nodes = moves.nodes
+        self.transitions = scope_transitions
+        self.nodes = scope_transitions.nodes
 
     def build(self) -> cluster_state.ClusterState:
-        """The state after the scope's prelude, with all limits unused."""
+        """Return the state after the scope's prelude, with all limits unused."""
         self.transitions.carried_frames = scopes.ALL_FRAMES
         voters = range(self.scope.voters)
         results = [self.nodes.start(index, 0, roles.formed_files(index, voters)) for index in voters]
         frames = collections.deque(frame for result in results for frame in result.sent)
-        nodes = self.warm_up([result.state for result in results], frames)
+        nodes = self.run_to_start([result.state for result in results], frames)
         history = invariants.History()
         for node in nodes:
             unchanged = node_states.Result(node, (), (), ())
@@ -48,12 +48,15 @@
         state = cluster_state.ClusterState(tuple(nodes), frozenset(), history, cluster_state.UsedLimits(), ())
         return self.after_prelude(state)
 
-    def warm_up(
+    def run_to_start(
         self, nodes: list[node_states.NodeState], queue: collections.deque[node_states.Frame]
     ) -> list[node_states.NodeState]:
-        """The nodes once the scope's start is reached: frames in the order they were sent, timers in order of time."""
+        """Run the nodes until the scope's start is reached, and return them.
+
+        Frames are delivered in the order in which they were sent, timers fire in order of time.
+        """
         for _ in range(SCHEDULE_LIMIT):
-            if self.scope.starts_with_leader and not queue and all_follow(nodes):
+            if self.scope.starts_with_leader and not queue and is_settled(nodes):
                 return nodes
             if queue:
                 frame = queue.popleft()
@@ -63,14 +66,14 @@
                 result = self.nodes.feed(nodes[target], 'wake', ())
                 is_candidate = any(frame.kind in scopes.PREVOTES for frame in result.sent)
                 if is_candidate and not self.scope.starts_with_leader:
-                    # All nodes know each other, and this one is about to stand for election.
+                    # All nodes know each other, and this one is about to start an election.
                     return nodes
             nodes[result.state.index] = result.state
             queue.extend(frame for frame in result.sent if frame.target < len(nodes))
-        raise ScopeNotReachedError(self.scope.name, 'no start state')
+        raise ScopeNotReachedError(self.scope.name, 'the start state is not reached')
 
     def after_prelude(self, state: cluster_state.ClusterState) -> cluster_state.ClusterState:
-        """The state after the moves of the prelude."""
+        """Return the state after the moves of the prelude."""
         leader_first = sorted(state.nodes, key=lambda node: (node.view.mode != 'leader', node.index))
         indexes = [node.index for node in leader_first]
         for move in self.scope.prelude:
@@ -84,16 +87,16 @@
     def after_move(
         self, state: cluster_state.ClusterState, move: preludes.Move, indexes: list[int]
     ) -> cluster_state.ClusterState:
-        """The state after one move; `indexes` are the nodes at the prelude's places."""
+        """Return the state after one move; `indexes` are the nodes at the prelude's positions."""
         if isinstance(move, preludes.RunUntil):
             return self.run_until(state, move.milestone)
         if isinstance(move, preludes.TimersUntil):
-            index = indexes[move.place]
+            index = indexes[move.position]
             while not move.milestone(state, state.nodes[index]):
                 state = self.after_step(state, steps.Step(steps.StepKind.TIMER, index))
             return state
         if isinstance(move, preludes.PutRequest):
-            step = steps.Step(steps.StepKind.REQUEST, indexes[move.place], request=move.request)
+            step = steps.Step(steps.StepKind.REQUEST, indexes[move.position], request=move.request)
             return self.after_step(state, step)
         way = move.kind, indexes[move.source], indexes[move.target]
         for frame in [f for f in state.frames if (f.kind, f.source, f.target) == way]:
@@ -101,7 +104,7 @@
         return state
 
     def run_until(self, state: cluster_state.ClusterState, milestone: preludes.Milestone) -> cluster_state.ClusterState:
-        """The state that reaches a milestone, with nothing lost and timers in order of time."""
+        """Return the state that reaches a milestone, with no frame lost and timers in order of time."""
         for _ in range(SCHEDULE_LIMIT):
             if milestone(state):
                 return state
@@ -114,18 +117,18 @@
             if after:
                 state = after[0]
             else:
-                # A frame that changes nothing is as good as lost.
+                # A frame that changes nothing can be dropped.
                 others = state.frames - {frame}
                 state = cluster_state.ClusterState(state.nodes, others, state.history, state.used, state.requests)
         raise ScopeNotReachedError(self.scope.name, 'a milestone of the prelude is not reached')
 
     def after_step(self, state: cluster_state.ClusterState, step: steps.Step) -> cluster_state.ClusterState:
-        """The state after a step without a power loss."""
+        """Return the state after a step without a power loss."""
         return next(new for new, _ in self.transitions.take(state, step) if new.step == step)
 
 
-def all_follow(nodes: list[node_states.NodeState]) -> bool:
-    """Whether one node leads and all have committed the same change of its term."""
+def is_settled(nodes: list[node_states.NodeState]) -> bool:
+    """True if one node is the leader and all nodes have committed the same change of its term."""
     views = [node.view for node in nodes]
     return (
         sum(view.mode == 'leader' for view in views) == 1
--- a/zinctrail/model/steps.py
+++ b/zinctrail/model/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a cluster, as the explorer takes them and a finding lists them."""
+"""The steps of a cluster, which the explorer takes and a finding lists."""
 
 import dataclasses
 import enum
@@ -7,17 +7,17 @@
 
 import zinctrail.errors as errors
 
-# Pseudo-frame: a node learns that the connection from another one was closed.
+# The kind of a pseudo-frame that notifies a node that the connection from another one was closed.
 CONNECTION_CLOSED = 'closed'
-# Fields that every frame carries, and that tell a reader of a finding nothing.
+# Fields that every frame carries and that are of no use to a reader of a finding.
 ENVELOPE_FIELDS = frozenset(('a', 'c', 'f', 'v', 't', 'http'))
-# How much of a frame's content is shown, in characters.
+# The largest part of a frame's content that is shown in a finding, in characters.
 SHOWN_CHARACTERS = 160
 NO_POWER_LOSS = -1
 
 
 class StepKind(enum.StrEnum):
-    """What happens in a step; the values are those of findings on disk."""
+    """The kind of a step; the values are stored in findings on disk."""
 
     DELIVER = 'deliver'
     # Delivers a frame and leaves a duplicate of it in flight.
@@ -30,12 +30,12 @@
     SHUTDOWN = 'leave'
 
 
-# Steps that end the life of a machine without an input to it.
+# Steps that end a machine without an input to it.
 ENDINGS = frozenset((StepKind.RESTART, StepKind.WIPE, StepKind.LOSS))
 
 
 class StepNotEnabledError(errors.ZinctrailError):
-    """A step that is to be replayed can not be taken in the state that was reached."""
+    """A step to be replayed can not be taken in the state that was reached."""
 
     def __init__(self, step: 'Step'):
         super().__init__(step.describe())
@@ -46,9 +46,9 @@
 class Step:
     """One step of the cluster.
 
-    `node` and `source` are indexes of nodes; `frame` is the text of the frame that
-    is delivered, `request` the name of the request that is put. Power is lost
-    before the write of this number, if it is not NO_POWER_LOSS.
+    `node` and `source` are indexes of nodes; `frame` is the text of the delivered frame,
+    `request` the name of the request that is sent. `power_loss_before_write` is the number
+    of the write before which power is lost, or NO_POWER_LOSS.
     """
 
     kind: StepKind
@@ -60,16 +60,16 @@
 
     @classmethod
     def deliver(cls, frame, kind: StepKind = StepKind.DELIVER) -> 'Step':
-        """The step that delivers a frame in flight."""
+        """Return the step that delivers a frame in flight."""
         return cls(kind, frame.target, frame.source, frame.text)
 
     @classmethod
     def from_json(cls, row: dict[str, typing.Any]) -> 'Step':
-        """The step that `to_json` wrote."""
+        """Return the step that `to_json` wrote."""
         return cls(StepKind(row['kind']), row['node'], row['source'], row['frame'], row['request'], row['cut'])
 
     def to_json(self) -> dict[str, typing.Any]:
-        """The step as a row of a finding's document."""
+        """Return the step as a row of a finding's document."""
         return {
             'kind': str(self.kind),
             'node': self.node,
@@ -80,7 +80,7 @@
         }
 
     def describe(self) -> str:
-        """One line for a reader of a finding."""
+        """Describe the step in one line for a reader of a finding."""
         if self.kind in (StepKind.DELIVER, StepKind.DUPLICATE):
             text = self.describe_delivery()
         elif self.kind is StepKind.REQUEST:
@@ -92,7 +92,7 @@
         return f'{text}; power lost before write {self.power_loss_before_write + 1}, restarted'
 
     def describe_delivery(self) -> str:
-        """The frame's way, its kind and what it says."""
+        """Describe the source, target, kind and content of the delivered frame."""
         frame = json.loads(self.frame) if self.frame else {}
         content = ', '.join(f'{name} {frame[name]}' for name in sorted(frame) if name not in ENVELOPE_FIELDS)
         duplicate = ' (a duplicate stays in flight)' if self.kind is StepKind.DUPLICATE else ''
