--- a/zinctrail/model/invariants.py
+++ b/zinctrail/model/invariants.py
@@ -95,7 +95,7 @@
     """Return (name, reason) of the first invariant that does not hold; None if all hold.
 
     `responses` are those of the step that led to the state. `voters` is the number of
-    voters, or 0 if nodes may lose their disks and majorities can not be checked.
+    voters, or 0 if majorities can not be checked, since voters change or disks may be lost.
     """
     for check in (
         election_safety,
@@ -144,7 +144,7 @@
     found = contradiction((version, (term, content)) for version, term, content in state.history.committed)
     if not found:
         return ''
-    return f'version {found[0]} was committed in term {found[1][0]} and in term {found[2][0]}, or with two contents'
+    return f'version {found[0]} was committed with term {found[1][0]} and with term {found[2][0]}, or with two contents'
 
 
 def one_content_a_version(state) -> str:
@@ -175,7 +175,7 @@
 def is_missing(view, term: int, version: int) -> bool:
     """True if a leader can't have a version that was committed."""
     if view.accepted[0] == view.term > term:
-        # Its own versions continue from those it had when it became the leader, which must include this one.
+        # Its own versions are numbered on from the last one it had when it became the leader, which must not be older.
         return view.accepted[1] <= version
     return view.term >= term and view.accepted < (term, version)
 
@@ -197,7 +197,7 @@
 def durability(state, voters: int) -> str:
     """A majority of the voters has every committed version and acknowledged request.
 
-    Not checked if `voters` is 0, which means that nodes may lose their disks.
+    Not checked if `voters` is 0: voters change or some disks may be lost.
     """
     for version, term, _ in state.history.committed if voters else ():
         holders = sum(node.view.accepted >= (term, version) for node in state.nodes)
--- a/zinctrail/model/preludes.py
+++ b/zinctrail/model/preludes.py
@@ -80,7 +80,7 @@
     )
 
 
-# Node 1 is elected leader with the vote of node 2, and the old leader does not know it.
+# The node at position 1 is elected leader with the vote of the node at position 2; the old leader does not know it.
 LEADER_SUPERSEDED_UNNOTICED: tuple[Move, ...] = (
     TimersUntil(1, is_candidate),
     TimersUntil(2, is_candidate),
--- a/zinctrail/model/transitions.py
+++ b/zinctrail/model/transitions.py
@@ -62,8 +62,8 @@
                 yield from self.node_steps(node, remaining)
         for name, request in self.requests.items():
             request_count = state.requests.count(name)
-            may_repeat = request_count == 1 and remaining['repeated_requests'] > 0 and not request.is_read
-            if request_count == 0 or may_repeat:
+            may_retry = request_count == 1 and remaining['repeated_requests'] > 0 and not request.is_read
+            if request_count == 0 or may_retry:
                 for index in request.nodes:
                     if self.takes_requests(state.nodes[index]):
                         yield steps.Step(steps.StepKind.REQUEST, index, request=name)
--- a/zinctrail/simulation/checkers/configuration.py
+++ b/zinctrail/simulation/checkers/configuration.py
@@ -62,10 +62,10 @@
     """True if an accepted configuration that was in force at the time of the run allows it."""
     for position, apply in enumerate(accepted):
         is_newest = position + 1 == len(accepted)
-        superseded_by = None if is_newest else accepted[position + 1].answered_at + MAX_SUPERSEDED_USE
+        usable_until = None if is_newest else accepted[position + 1].answered_at + MAX_SUPERSEDED_USE
         if (
             apply.sent_at <= run.at
-            and (superseded_by is None or run.at <= superseded_by)
+            and (usable_until is None or run.at <= usable_until)
             and is_allowed(apply.config, run)
         ):
             return True
@@ -93,17 +93,17 @@
     unconfirmed = [apply.config for apply in notes.applies if apply.status not in DEFINITE_STATUSES]
     conflicting = [apply.config for apply in notes.applies if apply.status == 409 and apply.config not in unconfirmed]
     for read in sorted(notes.reads, key=lambda read: read.answered_at):
-        began = seconds(read.sent_at)
+        sent_time = seconds(read.sent_at)
         generation = read.generation
         floor = max((number for number, apply in accepted.items() if apply.answered_at <= read.sent_at), default=0)
         if generation < floor:
-            findings.append(f'read at {began} gave generation {generation}, {floor} was acknowledged before')
+            findings.append(f'read at {sent_time} gave generation {generation}, {floor} was acknowledged before')
         if generation in accepted and read.config != _with_all_parts(accepted[generation].config):
             findings.append(f'read of generation {generation} differs from the accepted configuration')
         if generation not in accepted and any(read.config == _with_all_parts(config) for config in conflicting):
-            findings.append(f'read at {began} gave generation {generation}, which was refused with a conflict')
+            findings.append(f'read at {sent_time} gave generation {generation}, which was refused with a conflict')
         if any(read.config == _with_all_parts(config) for config in refused):
-            findings.append(f'read at {began} gave a refused configuration')
+            findings.append(f'read at {sent_time} gave a refused configuration')
     return findings + _regressions(notes.reads)
 
 
--- a/zinctrail/simulation/checkers/coordination.py
+++ b/zinctrail/simulation/checkers/coordination.py
@@ -21,11 +21,11 @@
     """Two applications believe that they hold a lock at the same time, or its fencing tokens do not increase."""
     findings = []
     for name, earlier, later in registry.belief_pairs(deployment.notes.locks):
-        is_other = earlier.holder != later.holder
-        if is_other and later.since < earlier.until:
+        is_other_holder = earlier.holder != later.holder
+        if is_other_holder and later.since < earlier.until:
             findings.append(registry.overlap(name, earlier, later))
         is_same_token = later.fencing_token == earlier.fencing_token
-        if later.fencing_token < earlier.fencing_token or (is_same_token and is_other):
+        if later.fencing_token < earlier.fencing_token or (is_same_token and is_other_holder):
             findings.append(registry.token_order(name, earlier, later))
     return findings
 
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -55,7 +55,7 @@
             continue
         # Runs that a later configuration allows again say nothing about this one.
         later = [apply for apply in accepted if apply.generation > new.generation]
-        late = [
+        delays = [
             run.at - new.answered_at
             for run in deployment.notes.arrivals
             if new.answered_at < run.at < new.answered_at + ms(5000)
@@ -65,20 +65,20 @@
                 apply.sent_at <= run.at and configuration_checkers.is_allowed(apply.config, run) for apply in later
             )
         ]
-        maxima.add('in_force_ms', durations.to_ms(max(late, default=ms(0))))
+        maxima.add('in_force_ms', durations.to_ms(max(delays, default=ms(0))))
 
 
 def _add_evacuations(deployment: client_deployment.Deployment, maxima: Maxima) -> None:
     """Add how long after the evacuation command an evacuated zone was reached."""
     for evacuation, until in configuration_checkers.evacuations(deployment):
-        late = [
+        delays = [
             arrival.at - evacuation.sent_at
             for arrival in deployment.notes.arrivals
             if arrival.cell == evacuation.cell
             and arrival.at > evacuation.sent_at
             and (until is None or arrival.at < until)
         ]
-        maxima.add('evacuated_ms', durations.to_ms(max(late, default=ms(0))))
+        maxima.add('evacuated_ms', durations.to_ms(max(delays, default=ms(0))))
 
 
 def _add_recoveries(deployment: client_deployment.Deployment, maxima: Maxima) -> None:
--- a/zinctrail/simulation/checkers/open_configuration.py
+++ b/zinctrail/simulation/checkers/open_configuration.py
@@ -77,10 +77,10 @@
 def route(deployment: open_deployment.Deployment) -> list[str]:
     """A request runs at a service that no configuration ever sent allows, at whatever time it was sent."""
     findings = []
-    ever = {key: pools_of_all(rows) for key, rows in RuleVersions(deployment).rows.items()}
+    allowed_pools = {key: pools_of_all(rows) for key, rows in RuleVersions(deployment).rows.items()}
     for run in deployment.notes.runs:
         attempt = open_requests.attempt_of(deployment, run)
-        if attempt and run.service not in ever.get(rule_key(attempt), ()):
+        if attempt and run.service not in allowed_pools.get(rule_key(attempt), ()):
             findings.append(f'{run.id} of {attempt.request.rule} ran at {run.service}, which no configuration allows')
     return findings
 
@@ -128,22 +128,22 @@
         if len(rows) < 2:
             continue
         for run in ran.get(attempt.id, ()):
-            fitting = [
+            allowing_versions = [
                 change.version
                 for change in rows
                 if change.sent_at <= run.at and run.service in terms.pools_of(change.row)
             ]
-            if not fitting:
+            if not allowing_versions:
                 continue
             process = (attempt.front, attempt.front_incarnation, key)
-            earlier = [low for at, low in seen[process] if at + TERMS.revert * 8 < attempt.sent_at]
+            earlier = [oldest for at, oldest in seen[process] if at + TERMS.revert * 8 < attempt.sent_at]
             floor = max(earlier, default=-1)
-            if max(fitting) < floor:
+            if max(allowing_versions) < floor:
                 findings.append(
                     f'{attempt.id} of {attempt.request.rule} by {attempt.front} at {seconds(run.at)}:'
-                    f' back from version {floor} to {max(fitting)}'
+                    f' back from version {floor} to {max(allowing_versions)}'
                 )
-            seen[process].append((run.at, min(fitting)))
+            seen[process].append((run.at, min(allowing_versions)))
     return findings
 
 
@@ -190,13 +190,15 @@
         items = str([(change.key, change.version, change.row) for change in rows])
         statuses[items].add(rows[0].status)
     return findings + [
-        f'{items}: both acknowledged and refused' for items, all_ in statuses.items() if {200, 409} <= all_
+        f'{items}: both acknowledged and refused'
+        for items, item_statuses in statuses.items()
+        if {200, 409} <= item_statuses
     ]
 
 
 @check('config-kept')
 def config_kept(deployment: open_deployment.Deployment) -> list[str]:
-    """A read returns an item that is neither its newest acknowledged version nor a newer one that was sent, unaltered."""
+    """A read returns an item that is not, unaltered, its newest acknowledged version or a newer one that was sent."""
     findings = []
     notes = deployment.notes
     changes = registry.group_by(notes.changes, item_key)
@@ -206,8 +208,8 @@
         if read.items is None:
             continue
         rows = {f'{part}/{row["name"]}': row for part in ('rules', 'pools') for row in read.items[part]}
-        for key, of_key in changes.items():
-            findings += _not_kept(key, of_key, rows.pop(key, None), read)
+        for key, key_changes in changes.items():
+            findings += _not_kept(key, key_changes, rows.pop(key, None), read)
         findings += [f'read at {seconds(read.sent_at)}: {key} was never sent' for key in rows]
     return findings
 
@@ -287,19 +289,19 @@
     """Repeated arrivals of the same requests exceed their share; only the first finding of each service is reported."""
     findings: dict[str, str] = {}
     seen = set()
-    extra = collections.defaultdict(list)
+    retry_times = collections.defaultdict(list)
     for arrival in deployment.notes.arrivals:
         if arrival.id in seen:
-            extra[arrival.service].append(arrival.at)
+            retry_times[arrival.service].append(arrival.at)
         seen.add(arrival.id)
-    asked = _request_times_by_pool(deployment)
-    for service, times in extra.items():
+    request_times = _request_times_by_pool(deployment)
+    for service, times in retry_times.items():
         first = 0
         for last, at in enumerate(times):
             while times[first] <= at - TERMS.repeat_window:
                 first += 1
             count = last - first + 1
-            requests = _max_requests_near(asked[service], at) if count > TERMS.repeat_slack else 0
+            requests = _max_requests_near(request_times[service], at) if count > TERMS.repeat_slack else 0
             if count > TERMS.repeat_share * requests + TERMS.repeat_slack:
                 text = f'{service}: {count} retries for {requests} requests in the window before {seconds(at)}'
                 findings.setdefault(service, text)
@@ -308,12 +310,12 @@
 
 def _request_times_by_pool(deployment: open_deployment.Deployment) -> dict[str, list[datetime.timedelta]]:
     """Return when the requests that may be routed to each pool were sent, by the pool."""
-    asked = collections.defaultdict(list)
+    request_times = collections.defaultdict(list)
     versions = RuleVersions(deployment)
     for attempt in deployment.notes.attempts:
         for pool in pools_of_all(versions.candidates(rule_key(attempt), attempt.sent_at, None)):
-            asked[pool].append(attempt.sent_at)
-    return asked
+            request_times[pool].append(attempt.sent_at)
+    return request_times
 
 
 def _max_requests_near(times: list[datetime.timedelta], at: datetime.timedelta) -> int:
--- a/zinctrail/simulation/checkers/open_coordination.py
+++ b/zinctrail/simulation/checkers/open_coordination.py
@@ -64,9 +64,9 @@
     by_group = registry.group_by(puts, lambda put: group_of(put.name))
     for group in sorted(by_group):
         findings += not_increasing(by_group[group], lambda put: put.revision, f'revision of {group}')
-    for name, of_name in registry.group_by(puts, lambda put: put.name).items():
-        for put in of_name:
-            between = [other.revision for other in of_name if put.expected_revision < other.revision < put.revision]
+    for name, name_puts in registry.group_by(puts, lambda put: put.name).items():
+        for put in name_puts:
+            between = [other.revision for other in name_puts if put.expected_revision < other.revision < put.revision]
             if between:
                 findings.append(
                     f'{name}: put over revision {put.expected_revision} got {put.revision}, skipping {between}'
@@ -141,9 +141,9 @@
         elif put.status == 409 or (put.statuses and set(put.statuses) <= {503, 429}):
             findings.append(f'{name} returned {observed_value} at {seconds(at)}, whose put got {put.statuses}')
     findings += [
-        f'{name}: {observed_value} was returned under revisions {sorted(of_value)}'
-        for (name, observed_value), of_value in revisions.items()
-        if len(of_value) > 1
+        f'{name}: {observed_value} was returned under revisions {sorted(value_revisions)}'
+        for (name, observed_value), value_revisions in revisions.items()
+        if len(value_revisions) > 1
     ]
     # Registers with a put of unknown result, which may have been given any revision.
     uncertain = {put.name for put in deployment.notes.puts if put.status not in (200, 409)}
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -34,8 +34,8 @@
     for order in notes.orders:
         if order.status == 200:
             maxima.add('ack_ms', durations.to_ms(order.answered_at - order.sent_at))
-    good = sum(attempt.is_success() for attempt in notes.attempts)
-    maxima.add('failed_share', 1 - good / max(1, len(notes.attempts)))
+    success_count = sum(attempt.is_success() for attempt in notes.attempts)
+    maxima.add('failed_share', 1 - success_count / max(1, len(notes.attempts)))
     return dict(maxima)
 
 
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -182,7 +182,7 @@
 
 @check('held')
 def unanswered_requests(deployment: open_deployment.Deployment) -> list[str]:
-    """A request is abandoned without a response: its client gets none by its deadline, and no endpoint was offered it."""
+    """An abandoned request gets no response at once: none came by the deadline, and no endpoint was offered it."""
     offered = by_id(deployment.notes.arrivals)
     return [
         f'{attempt.id} of {attempt.request.rule} got no response from {attempt.front} by {seconds(attempt.answered_at)}'
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -204,7 +204,7 @@
         except ValueError:
             continue
         if ran and region_of(ran) not in attempt.home:
-            findings.append(f'{attempt.id} of {attempt.home} got a response that ran in {ran}')
+            findings.append(f'{attempt.id} of {attempt.home} got a response of a run in {ran}')
     return findings
 
 
@@ -226,23 +226,23 @@
     """A service, or most requests, do not run within 15 s after all that a fault took away, and that may return, is back."""
     findings = []
     notes = deployment.notes
-    last = max((reply.sent_at for reply in notes.replies), default=ms(0))
+    last_sent_at = max((reply.sent_at for reply in notes.replies), default=ms(0))
     for loss in undisturbed_losses(deployment):
         # If no requests were sent for part of this time, missing runs prove nothing.
-        if last < loss.at + ms(14000):
+        if last_sent_at < loss.at + ms(14000):
             continue
         for service in sorted(deployment.shape['services']):
             if not any(
                 run.service == service and loss.at < run.at <= loss.at + MAX_RECOVERY_TIME for run in notes.runs
             ):
                 findings.append(f'no request to {service} ran within 15 s of {loss.fault} at {seconds(loss.at)}')
-        late = [
+        late_runs = [
             reply.outcome == 'ran'
             for reply in notes.replies
             if loss.at + ms(10000) < reply.sent_at <= loss.at + ms(14000)
         ]
-        if len(late) >= 20 and sum(late) < 0.8 * len(late):
+        if len(late_runs) >= 20 and sum(late_runs) < 0.8 * len(late_runs):
             findings.append(
-                f'{sum(late)} of {len(late)} requests ran 10 to 14 s after {loss.fault} at {seconds(loss.at)}'
+                f'{sum(late_runs)} of {len(late_runs)} requests ran 10 to 14 s after {loss.fault} at {seconds(loss.at)}'
             )
     return findings
