--- a/zinctrail/model/scopes.py
+++ b/zinctrail/model/scopes.py
@@ -35,7 +35,7 @@
     wipes: int = 0
     # Nodes lost permanently.
     losses: int = 0
-    # Nodes told to stop.
+    # Nodes shut down gracefully.
     shutdowns: int = 0
     # Frames that arrive twice.
     duplicates: int = 0
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -242,8 +242,8 @@
     by_incarnation = collections.defaultdict(list)
     for arrival in deployment.notes.arrivals:
         attempt = attempt_of(deployment, arrival)
-        is_cold = any(span.begins_at <= arrival.at < span.ends_at for span in spans.get(arrival.incarnation, ()))
-        if not arrival.is_misdirected and attempt and is_cold:
+        is_warming_up = any(span.begins_at <= arrival.at < span.ends_at for span in spans.get(arrival.incarnation, ()))
+        if not arrival.is_misdirected and attempt and is_warming_up:
             by_incarnation[arrival.incarnation].append((arrival.at, attempt.sent_at))
     max_requests = terms.COLD_PER_S * TERMS.cold_ratio + TERMS.cold_slack
     for incarnation, rows in by_incarnation.items():
