--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -43,9 +43,9 @@
         seed,
         names,
         length=ms(15000),
-        coord=checker in NEEDS_APPS,
-        bound=settings.Settings(),
-        wild=0.5,
+        with_applications=checker in NEEDS_APPS,
+        custom_settings=settings.Settings(),
+        any_proxy_share=0.5,
         rate=60,
         plain=True,
         drift=0.02,
@@ -220,7 +220,7 @@
         assert scenario.verdicts(checker) == [], (scenario.verdicts(checker)[:5], scenario.replay_command())
         # A day in which nothing was served, or no fault had a target, would prove nothing.
         assert len(scenario.deployment.notes.runs) > 500, scenario.deployment.tally()
-        assert not scenario.missed, scenario.missed
+        assert not scenario.ineffective, scenario.ineffective
 
 
 @behave.then('with guard {guard} off it finds something')
@@ -290,4 +290,4 @@
 
 @behave.then('the fault found its mark')
 def fault_found_its_mark(context):
-    assert not context.simulated_scenario.missed, context.simulated_scenario.missed
+    assert not context.simulated_scenario.ineffective, context.simulated_scenario.ineffective
--- a/features/steps/first_start_steps.py
+++ b/features/steps/first_start_steps.py
@@ -221,7 +221,7 @@
 @behave.then('one cluster forms and everybody joins it')
 def large_deployment_formed(context):
     for start in context.starts:
-        assert start.verdict() == '', (start.seed, start.how, start.verdict())
+        assert start.verdict() == '', (start.seed, start.mode, start.verdict())
 
 
 @behave.then('core1 says which seeds are silent, in its log and its status')
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -33,7 +33,7 @@
 
 def run_scenario(names, seed, checker):
     """Play one day of open traffic whose clocks drift, with applications where the checker needs them."""
-    return open_days.Scenario(seed, names, length=ms(12000), coord=checker in NEEDS_APPS, drift=0.02).run()
+    return open_days.Scenario(seed, names, length=ms(12000), with_applications=checker in NEEDS_APPS, drift=0.02).run()
 
 
 # -- guards, each switched off as narrowly as may be -----------------------
--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -246,7 +246,7 @@
         return begin
 
     scenario.faults = {name: note(name) for name in registry.names_of(group)}
-    scenario.strike(group)
+    scenario.inject(group)
     assert [name for _, name in context.begun] == registry.names_of(group), context.begun
 
 
@@ -265,7 +265,7 @@
 
 @behave.then('"{group}" without its first fault is "{second}", and without its second "{first}"')
 def group_without_one_fault(context, group, second, first):
-    links = search.links(group)
-    assert search.group_of(links) == group
-    assert search.group_of(links[1:]) == second
-    assert search.group_of(links[:1] + links[2:]) == first
+    split_group = search.split_group(group)
+    assert search.join_group(split_group) == group
+    assert search.join_group(split_group[1:]) == second
+    assert search.join_group(split_group[:1] + split_group[2:]) == first
--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -37,7 +37,7 @@
 @behave.given('three voters that hold {routes:d} routes, with frames of {kilobytes:d} KB at most')
 def three_voters_with_routes(context, routes: int, kilobytes: int):
     size = sizes.Size(routes=routes, services=100)
-    context.rig = catch_up.CatchUp(size, bound=settings.Settings(frame_most=kilobytes << 10))
+    context.rig = catch_up.CatchUp(size, custom_settings=settings.Settings(frame_most=kilobytes << 10))
     context.rig.world.compresses = False
     context.state_bytes = len(json.dumps(context.rig.state))
     context.started = False
@@ -358,7 +358,9 @@
             context.answers.append(text)
 
     rig.world.on_deliver = note_answer
-    rig.world.die_in_write = lambda writer, effect: writer is node and isinstance(effect, effects.CommitChunks)
+    rig.world.power_loss_after_write = lambda writer, effect: (
+        writer is node and isinstance(effect, effects.CommitChunks)
+    )
     assert rig.world.run(durations.ms(20000), until=lambda: not node.up)
     rig.world.run(durations.ms(1000))
 
--- a/features/steps/unformed_steps.py
+++ b/features/steps/unformed_steps.py
@@ -59,9 +59,9 @@
     for small_world, former in context.starts:
         assert small_world.run(ms(30000), lambda former=former: has_abandoned_cluster(former)), small_world.seed
         if 'next write' in how:
-            small_world.die_in_write = lambda node, effect, former=former: node is former
+            small_world.power_loss_after_write = lambda node, effect, former=former: node is former
             assert small_world.run(ms(5000), lambda former=former: not former.up), small_world.seed
-            small_world.die_in_write = None
+            small_world.power_loss_after_write = None
         else:
             former.kill(power='power' in how)
         former.start()
--- a/zinctrail/simulation/actors/caller.py
+++ b/zinctrail/simulation/actors/caller.py
@@ -78,7 +78,7 @@
         home: typing.Sequence[str] = (),
         timeout: datetime.timedelta = USUAL_TIMEOUT,
         storm: float = 0.0,
-        wild: float = 0.0,
+        any_proxy_share: float = 0.0,
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
@@ -88,7 +88,7 @@
         self.rate = rate
         self.timeout = timeout
         self.storm_chance = storm
-        self.wild_chance = wild
+        self.wild_chance = any_proxy_share
         self.rng = random.Random(f'{self.world.seed}/{name}')
         directories = self.world.of('dir')
         near = [node.location.http for node in directories if node.location.cell == cell]
--- a/zinctrail/simulation/catch_up.py
+++ b/zinctrail/simulation/catch_up.py
@@ -36,12 +36,12 @@
 MISSED_CHANGE_PAUSE = ms(12)
 CHANGE_PAUSE = ms(200)
 # How many versions a node that has caught up may lack: the newest changes are on their way.
-ON_THEIR_WAY = 2
+MAX_VERSIONS_IN_FLIGHT = 2
 # A process that starts gets no heartbeat at first; this much is left out of a catch-up longer than twice that.
 FIRST_HEARTBEAT_TIME = ms(1000)
 BITS_PER_BYTE = 8
 # How many kinds of inputs are listed with their longest times.
-LONGEST_LISTED = 4
+MAX_LISTED_KINDS = 4
 
 
 class OlderVoter(voter.Voter):
@@ -87,7 +87,7 @@
             return self.machine_class(self.location, self.world.settings, rng)
         machine = self.machine_class(self.location, self.world.settings, rng, dict(self.disk.files))
         if self.initial_state is not None:
-            hold_state(machine, self.initial_state)
+            load_state(machine, self.initial_state)
             self.initial_state = None
         return machine
 
@@ -99,7 +99,7 @@
         self.longest_s[name] = max(self.longest_s.get(name, 0.0), time.perf_counter() - began)
 
 
-def hold_state(machine: voter.Voter, tables: scale_state.Tables) -> None:
+def load_state(machine: voter.Voter, tables: scale_state.Tables) -> None:
     """Let a voter that is about to start hold a state. The rows are shared, the tables are its own."""
     machine.replica.accept(scale_state.VERSION, tables={table: dict(rows) for table, rows in tables.items()})
     machine.cluster = scale_state.CLUSTER
@@ -109,11 +109,11 @@
 class CatchUp:
     """Three voters that hold a state; others may be added."""
 
-    def __init__(self, size: sizes.Size, seed: int = 1, bound: settings.Settings | None = None):
+    def __init__(self, size: sizes.Size, seed: int = 1, custom_settings: settings.Settings | None = None):
         size.cores, size.dirs, size.nodes = VOTERS, 0, 0
         self.size = size
-        self.world = simulated_world.World(seed, bound or settings.Settings())
-        self.world.on_deliver = self.delivered
+        self.world = simulated_world.World(seed, custom_settings or settings.Settings())
+        self.world.on_deliver = self.record_frame
         self.state = scale_state.state_tables(size)
         # When each process got its heartbeats.
         self.heartbeats: dict[str, list[datetime.timedelta]] = {}
@@ -153,7 +153,7 @@
             node.disk.synced = dict(node.disk.files)
         return node
 
-    def delivered(self, source: simulated_node.Node, target: simulated_node.Node, text: str) -> None:
+    def record_frame(self, source: simulated_node.Node, target: simulated_node.Node, text: str) -> None:
         """Note a frame that arrived."""
         self.largest_frame = max(self.largest_frame, len(text))
         if '"t": "chk"' in text[-200:]:
@@ -184,7 +184,7 @@
         """End a voter whose disk holds all that it has; returns what the snapshot took, in real seconds."""
         began = time.perf_counter()
         node.machine.persistence.write_snapshot()
-        for effect in taken_effects(node):
+        for effect in take_effects(node):
             node.disk.carry_out(effect)
         node.kill()
         return time.perf_counter() - began
@@ -203,7 +203,7 @@
 
     # -- changes -----------------------------------------------------------
 
-    def change(self) -> None:
+    def commit_change(self) -> None:
         """Have the leader commit a rule anew, if there is one."""
         leader = self.leader()
         if leader is None:
@@ -217,7 +217,7 @@
             return {'status': 200}
 
         leader.machine.submit(put, lambda result: None)
-        for effect in taken_effects(leader):
+        for effect in take_effects(leader):
             if isinstance(effect, effects.DISK_EFFECTS):
                 leader.disk.carry_out(effect)
             else:
@@ -227,13 +227,13 @@
     def change_every(self, pause: datetime.timedelta) -> None:
         """Go on changing rules until `stop_changing`."""
         self.change_pause = pause
-        self.change_again()
+        self.commit_periodically()
 
-    def change_again(self) -> None:
+    def commit_periodically(self) -> None:
         """Change a rule now, and again after each pause."""
         if self.change_pause is not None:
-            self.change()
-            self.world.after(self.change_pause, self.change_again)
+            self.commit_change()
+            self.world.after(self.change_pause, self.commit_periodically)
 
     def stop_changing(self) -> None:
         """Change no more rules."""
@@ -242,7 +242,7 @@
     def commit_changes(self, count: int) -> None:
         """So many changes, a version each."""
         for _ in range(count):
-            self.change()
+            self.commit_change()
             self.world.run(MISSED_CHANGE_PAUSE)
 
     # -- what came of it ---------------------------------------------------
@@ -257,7 +257,7 @@
         else:
             latest = tuple(leader.machine.replica.get('meta', 'routes'))
         term, number = node.machine.replica.committed
-        return term == latest[0] and latest[1] - number <= ON_THEIR_WAY
+        return term == latest[0] and latest[1] - number <= MAX_VERSIONS_IN_FLIGHT
 
     def longest_gap_ms(self, name: str, since: datetime.timedelta) -> int:
         """The longest time that a process got no heartbeat."""
@@ -270,7 +270,7 @@
             self.leader().machine.replica.full_state()
         )
 
-    def was_dropped(self, node: Node, since: datetime.timedelta) -> int:
+    def count_removals(self, node: Node, since: datetime.timedelta) -> int:
         """How often a log says that a process is no member any more."""
         lost = f'Member {node.machine.node}'
         return sum(lost in text and 'removed:' in text for at, text in self.world.lines if at > since)
@@ -280,7 +280,7 @@
         return self.leader().machine.counts
 
 
-def taken_effects(node: Node) -> list:
+def take_effects(node: Node) -> list:
     """The effects that a machine has put out, which are its host's from now on."""
     taken, node.machine.out = node.machine.out, []
     return taken
@@ -296,7 +296,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-class Before(typing.NamedTuple):
+class Baseline(typing.NamedTuple):
     """What had been counted when a voter came back."""
 
     at: datetime.timedelta
@@ -325,51 +325,51 @@
         rig.wipe(node)
     rig.world.run(DOWN_TIME)
     rig.slow_link(node.name, mbit)
-    before = begin_catch_up(rig, node)
+    baseline = begin_catch_up(rig, node)
     done = rig.world.run(ms(limit_s * 1000), until=lambda: rig.has_caught_up(node))
-    return {'caught_up': done, **report(rig, node, before, snapshot_s)}
+    return {'caught_up': done, **report(rig, node, baseline, snapshot_s)}
 
 
-def begin_catch_up(rig: CatchUp, node: Node) -> Before:
+def begin_catch_up(rig: CatchUp, node: Node) -> Baseline:
     """Start a voter again, while changes go on."""
     bytes_by_kind, counts, rss_mb = dict(rig.world.bytes), dict(rig.counts()), peak_memory_mb()
     for other in rig.nodes:
         other.longest_s = {}
     rig.change_every(CHANGE_PAUSE)
-    before = Before(rig.world.now, time.perf_counter(), counts, bytes_by_kind, rss_mb)
+    baseline = Baseline(rig.world.now, time.perf_counter(), counts, bytes_by_kind, rss_mb)
     node.start()
-    return before
+    return baseline
 
 
-def report(rig: CatchUp, node: Node, before: Before, snapshot_s: float) -> dict:
+def report(rig: CatchUp, node: Node, baseline: Baseline, snapshot_s: float) -> dict:
     """The figures of a catch-up that is over."""
     world = rig.world
-    took = world.now - before.at
-    gap_from = before.at + FIRST_HEARTBEAT_TIME if took > 2 * FIRST_HEARTBEAT_TIME else before.at
+    took = world.now - baseline.at
+    gap_from = baseline.at + FIRST_HEARTBEAT_TIME if took > 2 * FIRST_HEARTBEAT_TIME else baseline.at
     changed_counts = {
-        name: count - before.counts.get(name, 0)
+        name: count - baseline.counts.get(name, 0)
         for name, count in rig.counts().items()
-        if count != before.counts.get(name, 0)
+        if count != baseline.counts.get(name, 0)
     }
     return {
         'seconds': round(took.total_seconds(), 1),
         'link_bytes': dict(world.link_bytes),
-        'raw_piece_bytes': world.bytes.get('piece', 0) - before.bytes_by_kind.get('piece', 0),
+        'raw_piece_bytes': world.bytes.get('piece', 0) - baseline.bytes_by_kind.get('piece', 0),
         'checkpoint_s': round(snapshot_s, 2),
         'longest_gap_ms': rig.longest_gap_ms(node.name, gap_from),
         'largest_frame': rig.largest_frame,
         'counts': changed_counts,
-        'dropped': rig.was_dropped(node, before.at),
-        'rss_mb': [round(before.rss_mb), round(peak_memory_mb())],
+        'dropped': rig.count_removals(node, baseline.at),
+        'rss_mb': [round(baseline.rss_mb), round(peak_memory_mb())],
         'longest_loop_ms': {each.name: longest_inputs_ms(each) for each in rig.nodes},
-        'real_s': round(time.perf_counter() - before.real_s, 1),
+        'real_s': round(time.perf_counter() - baseline.real_s, 1),
     }
 
 
 def longest_inputs_ms(node: Node) -> dict[str, int]:
     """The kinds of inputs that took a process longest, with these times."""
     by_time = sorted(node.longest_s.items(), key=lambda item: -item[1])
-    return {name: round(1000 * seconds) for name, seconds in by_time[:LONGEST_LISTED]}
+    return {name: round(1000 * seconds) for name, seconds in by_time[:MAX_LISTED_KINDS]}
 
 
 def main() -> None:
--- a/zinctrail/simulation/checkers/open_contact.py
+++ b/zinctrail/simulation/checkers/open_contact.py
@@ -41,9 +41,9 @@
         """Note starts, ends, pauses and resets of processes."""
         down_since = {}
         for event in events:
-            if event.what in ('kill', 'exit'):
+            if event.kind in ('kill', 'exit'):
                 down_since[event.name] = event.at
-            begins = down_since.pop(event.name, event.at) if event.what == 'start' else event.at
+            begins = down_since.pop(event.name, event.at) if event.kind == 'start' else event.at
             self._add(event.name, Span(begins, event.until))
         for name, since in down_since.items():
             # The moment only: control nodes with a majority left settle again without one of them.
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -117,7 +117,7 @@
     """Times of events of some kinds, by the process."""
     times = collections.defaultdict(list)
     for event in events:
-        if event.what in kinds:
+        if event.kind in kinds:
             times[event.name].append(event.at)
     return times
 
@@ -295,7 +295,7 @@
     """When there was unplanned trouble, or an evacuation, in each region."""
     troubles: dict[str, list[open_notes.Span]] = collections.defaultdict(list)
     for event in deployment.world.process_events:
-        if event.what in ('kill', 'pause', 'reset'):
+        if event.kind in ('kill', 'pause', 'reset'):
             troubles[deployment.region_of(event.name)].append(open_notes.Span(event.at, event.until))
     for cut in deployment.notes.cuts:
         for name in (cut.one, cut.other):
--- a/zinctrail/simulation/command.py
+++ b/zinctrail/simulation/command.py
@@ -24,7 +24,7 @@
     shrink: bool = False
     # How many seeds to search, and how many of them at a time.
     seeds_to_search: int | None = None
-    at_once: int = 8
+    workers: int = 8
 
     @classmethod
     def parse(cls, argv: list[str]) -> 'Options':
@@ -40,30 +40,30 @@
             help='help' in given,
             shrink='shrink' in given,
             seeds_to_search=int(given['search']) if 'search' in given else None,
-            at_once=int(given.get('at-once', 8)),
+            workers=int(given.get('at-once', 8)),
         )
 
     def length(self) -> datetime.timedelta:
         """How long the faults of the day take together."""
         return durations.ms(1000 * self.seconds)
 
-    def job(self, kind: str, seed: int) -> search.Job:
+    def job(self, module: str, seed: int) -> search.Job:
         """The day of a seed, as a search plays it."""
-        return search.Job(kind, seed, self.shape, self.seconds, self.rate, self.faults)
+        return search.Job(module, seed, self.shape, self.seconds, self.rate, self.faults)
 
 
-def print_help(kind: types.ModuleType, text: str) -> None:
+def print_help(module: types.ModuleType, text: str) -> None:
     """Print what the command takes."""
     print(text.strip())
     print(
         '\n  --search=N   N seeds of random faults from --seed on, --at-once=8 of them at a time'
         '\n  --shrink     the fewest of --faults that still bring about what they do'
-        f'\n  --shape={"|".join(kind.SHAPES)}  --seconds=N  --rate=N  --trace'
-        f'\n\nFaults: {", ".join(kind.FAULTS)}'
+        f'\n  --shape={"|".join(module.SHAPES)}  --seconds=N  --rate=N  --trace'
+        f'\n\nFaults: {", ".join(module.FAULTS)}'
     )
 
 
-def main(argv: list[str], kind: types.ModuleType, text: str) -> int:
+def main(argv: list[str], module: types.ModuleType, text: str) -> int:
     """Run the command for one kind of days.
 
     :param kind: the module whose Scenario, FAULTS and SHAPES are meant.
@@ -72,30 +72,30 @@
     """
     options = Options.parse(argv)
     if options.help:
-        print_help(kind, text)
+        print_help(module, text)
         return 0
     if options.seeds_to_search is not None:
         jobs = [
-            options.job(kind.__name__, seed) for seed in range(options.seed, options.seed + options.seeds_to_search)
+            options.job(module.__name__, seed) for seed in range(options.seed, options.seed + options.seeds_to_search)
         ]
-        return search.search(jobs, options.at_once)
-    unknown = [name for group in options.faults for name in registry.names_of(group) if name not in kind.FAULTS]
+        return search.search(jobs, options.workers)
+    unknown = [name for group in options.faults for name in registry.names_of(group) if name not in module.FAULTS]
     if unknown:
         print(f'no such faults: {", ".join(unknown)}', file=sys.stderr)
         return 2
     if options.shrink:
-        return search.shrink(options.job(kind.__name__, options.seed))
-    return play(kind, options)
+        return search.shrink(options.job(module.__name__, options.seed))
+    return play(module, options)
 
 
-def play(kind: types.ModuleType, options: Options) -> int:
+def play(module: types.ModuleType, options: Options) -> int:
     """Play one day and print what it found."""
-    scenario = kind.Scenario(
+    scenario = module.Scenario(
         options.seed, options.faults, options.shape, options.length(), options.trace, rate=options.rate
     ).run()
     verdicts = scenario.verdicts()
-    missed = f' found nothing to break: {scenario.missed}' if scenario.missed else ''
-    print(f'{scenario.deployment.tally()} worst {scenario.figures()}{missed}')
+    ineffective = f' found nothing to break: {scenario.ineffective}' if scenario.ineffective else ''
+    print(f'{scenario.deployment.tally()} worst {scenario.figures()}{ineffective}')
     for verdict in verdicts:
         print(verdict)
     if verdicts:
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -37,14 +37,14 @@
 SHAPES = deployments.PRESETS
 FAULTS = registry.CLIENT
 # What a search puts in the place of one lost disk too many.
-ALONE = 'kill_master'
+FALLBACK_FAULT = 'kill_master'
 # Faults after which a control node's disk is gone: no two of them belong into one day.
-LOSE_DISK = ('replace_core', 'lose_disk', 'damage_disk', 'region_for_good', 'cell_for_good', 'machine_for_good')
+DISK_LOSS_FAULTS = ('replace_core', 'lose_disk', 'damage_disk', 'region_for_good', 'cell_for_good', 'machine_for_good')
 # Faults that strike once, at the end of a day; none of this kind.
-CLOSING = ()
+CLOSING_FAULTS = ()
 
-READS_EVERY = ms(1500)
-READS_UNTIL = ms(10**7)
+READ_INTERVAL = ms(1500)
+LAST_READ_AT = ms(10**7)
 
 
 class Scenario(simulated_scenario.Scenario):
@@ -57,14 +57,14 @@
     def __init__(
         self,
         seed: int,
-        names: typing.Iterable[str] = (),
+        fault_groups: typing.Iterable[str] = (),
         shape: str = 'small',
         length: datetime.timedelta = ms(30000),
         trace: bool = False,
-        coord: bool = True,
-        bound: settings.Settings | None = None,
+        with_applications: bool = True,
+        custom_settings: settings.Settings | None = None,
         rate: float | None = None,
-        wild: float = 0.1,
+        any_proxy_share: float = 0.1,
         plain: bool | None = None,
         drift: float | None = None,
     ):
@@ -76,17 +76,17 @@
         :param drift: how far clocks are off at most, as a share; by the seed if None.
         """
         self.shape = deployments.PRESETS[shape]
-        if bound is None and 'herd' in self.shape:
-            bound = settings.Settings(herd=self.shape['herd'])
-        super().__init__(seed, names, shape, length, simulated_world.World(seed, bound, trace))
-        self.coord = coord
+        if custom_settings is None and 'herd' in self.shape:
+            custom_settings = settings.Settings(herd=self.shape['herd'])
+        super().__init__(seed, fault_groups, shape, length, simulated_world.World(seed, custom_settings, trace))
+        self.with_applications = with_applications
         self.rate = rate
-        self.wild = wild
-        self.plain = self.kind_rng.random() < 0.5 if plain is None else plain
+        self.any_proxy_share = any_proxy_share
+        self.plain = self.variant_rng.random() < 0.5 if plain is None else plain
         self.drift = self.draw_drift() if drift is None else drift
         self.deployment = client_deployment.Deployment(self.world, self.shape, plain=self.plain)
 
-    def first_service(self) -> list[endpoint_actor.Endpoint]:
+    def first_service_endpoints(self) -> list[endpoint_actor.Endpoint]:
         """The endpoints of the service whose name sorts first."""
         service = sorted(self.shape['services'])[0]
         return [endpoint for endpoint in self.deployment.endpoints if endpoint.service == service]
@@ -97,16 +97,16 @@
         notes = self.deployment.notes
         self.start_load()
         world.run(ms(4000))
-        time_each = self.length / max(1, len(self.names))
-        for name in self.names:
+        time_each = self.length / max(1, len(self.fault_groups))
+        for name in self.fault_groups:
             began = world.now
             notes.begins.append(world.now)
-            self.note(f'fault {name}')
-            self.strike(name)
+            self.log(f'fault {name}')
+            self.inject(name)
             # From here on everything that may come back is back.
             notes.losses.append(actor_notes.Loss(world.now, name))
             world.run(max(ms(0), began + time_each - world.now))
-        if not self.names:
+        if not self.fault_groups:
             world.run(self.length)
         world.run(ms(15000))
         self.deployment.stop_load()
@@ -118,22 +118,22 @@
         self.set_clocks()
         deployment.start()
         deployment.operator.watch_status()
-        deployment.start_callers(self.rate, wild=self.wild)
+        deployment.start_callers(self.rate, any_proxy_share=self.any_proxy_share)
         # Some with home regions, since the rule about them needs such traffic.
         for number, cell in enumerate(deployment.cells[:2]):
             services = sorted(self.shape['services'])
             caller = caller_actor.Caller(deployment, f'home{number}', cell, services, 2, [cell.split('/')[0]])
             deployment.callers.append(caller)
             caller.start()
-        if self.coord:
+        if self.with_applications:
             deployment.start_applications()
-        self.read_again()
+        self.read_periodically()
 
-    def read_again(self) -> None:
+    def read_periodically(self) -> None:
         """Let the operator read the configuration back, again and again."""
-        if self.world.now < READS_UNTIL:
+        if self.world.now < LAST_READ_AT:
             self.deployment.operator.read()
-            self.world.after(READS_EVERY, self.read_again)
+            self.world.after(READ_INTERVAL, self.read_periodically)
 
     def verdicts(self, only: str | None = None) -> list[str]:
         """What happened that must never happen, of all checkers or of one."""
--- a/zinctrail/simulation/disk.py
+++ b/zinctrail/simulation/disk.py
@@ -6,7 +6,7 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
 
-IDENTITY = 'node'
+IDENTITY_FILE = 'node'
 
 
 class Disk:
@@ -68,10 +68,10 @@
             self.only_removed.difference_update(obsolete)
         if self.syncs:
             self.synced = dict(self.files)
-        elif name == IDENTITY:
+        elif name == IDENTITY_FILE:
             self.synced[name] = text
 
-    def power_lost(self) -> None:
+    def lose_power(self) -> None:
         """Go back to what was synced."""
         self.chunks = {}
         self.files = dict(self.synced)
--- a/zinctrail/simulation/faults/disks.py
+++ b/zinctrail/simulation/faults/disks.py
@@ -22,13 +22,13 @@
         nonlocal writes_left
         writes_left -= 1
         if writes_left == 0:
-            scenario.note(f'power lost at {node.name} after {effect.name}')
+            scenario.log(f'power lost at {node.name} after {effect.name}')
             scenario.restart(node, ms(3000))
             return True
         return False
 
-    scenario.world.die_in_write = die
-    scenario.later(ms(4000), setattr, scenario.world, 'die_in_write', None)
+    scenario.world.power_loss_after_write = die
+    scenario.later(ms(4000), setattr, scenario.world, 'power_loss_after_write', None)
     return ms(7000)
 
 
--- a/zinctrail/simulation/faults/endpoints.py
+++ b/zinctrail/simulation/faults/endpoints.py
@@ -128,7 +128,7 @@
 @fault
 def cold_crowd(scenario: 'days.Scenario') -> datetime.timedelta:
     """All endpoints of a service but one are gone, and that one comes back cold under many requests."""
-    endpoints = scenario.first_service()
+    endpoints = scenario.first_service_endpoints()
     for endpoint in endpoints:
         endpoint.kill()
         endpoint.work_ms = (100, 400)
--- a/zinctrail/simulation/faults/load.py
+++ b/zinctrail/simulation/faults/load.py
@@ -39,7 +39,7 @@
     for caller in scenario.deployment.callers:
         caller.timeout = ms(400)
         scenario.later(ms(8000), setattr, caller, 'timeout', caller_actor.USUAL_TIMEOUT)
-    for endpoint in scenario.first_service():
+    for endpoint in scenario.first_service_endpoints():
         if endpoint.up:
             endpoint.kill()
         endpoint.coldness = 0.8
--- a/zinctrail/simulation/faults/network.py
+++ b/zinctrail/simulation/faults/network.py
@@ -71,7 +71,7 @@
     """The leader, a directory and a proxy on one side, a majority of the control nodes and the rest on the other."""
     leader = scenario.world.leader()
     if leader is None:
-        scenario.miss('split_with_master')
+        scenario.record_ineffective('split_with_master')
         return ms(0)
     scenario.world.partition([leader.name, scenario.pick('dir').name, scenario.pick('prox').name])
     scenario.later(ms(6000), scenario.world.heal)
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -47,7 +47,7 @@
     """The leader is cut off for twenty seconds, and orders of all kinds go on."""
     leader = scenario.world.leader()
     if leader is None:
-        scenario.miss('core_cut_leader_long')
+        scenario.record_ineffective('core_cut_leader_long')
         return ms(0)
     cut_off(scenario, leader, LONG_CUT)
     orders = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
@@ -231,7 +231,7 @@
         """Stop listening, and note a miss if no call was accepted."""
         scenario.deployment.on_work_accepted = None
         if not hit:
-            scenario.miss('when_work_is_accepted')
+            scenario.record_ineffective('when_work_is_accepted')
 
     scenario.deployment.on_work_accepted = struck
     scenario.later(ms(3000), over)
--- a/zinctrail/simulation/faults/open_processes.py
+++ b/zinctrail/simulation/faults/open_processes.py
@@ -190,7 +190,7 @@
         terminate(scenario, node, again=False)
         scenario.later(ms(9000), scenario.start_unless_up, node)
     else:
-        scenario.miss('roll_term_remove')
+        scenario.record_ineffective('roll_term_remove')
     return ms(9000)
 
 
@@ -201,7 +201,7 @@
     if leader:
         terminate(scenario, leader)
     else:
-        scenario.miss('term_master')
+        scenario.record_ineffective('term_master')
     return ms(5000)
 
 
@@ -251,7 +251,7 @@
         """Stop listening, and note a miss if no change was acknowledged."""
         scenario.deployment.on_acknowledged = None
         if not struck:
-            scenario.miss('after_ack')
+            scenario.record_ineffective('after_ack')
 
     scenario.deployment.on_acknowledged = acknowledged
     open_operators.change_timeout(scenario)
--- a/zinctrail/simulation/faults/processes.py
+++ b/zinctrail/simulation/faults/processes.py
@@ -20,7 +20,7 @@
         leader.kill()
         scenario.restart(leader, ms(5000))
     else:
-        scenario.miss('kill_master')
+        scenario.record_ineffective('kill_master')
     return ms(5000)
 
 
@@ -35,7 +35,7 @@
         if leader:
             strike(leader)
         else:
-            scenario.miss('at_master')
+            scenario.record_ineffective('at_master')
 
     scenario.later(ms(scenario.rng.uniform(20, 1500)), hit)
 
--- a/zinctrail/simulation/fingerprints.py
+++ b/zinctrail/simulation/fingerprints.py
@@ -29,7 +29,7 @@
 KINDS = {'days': days, 'open_days': open_days}
 
 
-def text_of(effect) -> str | None:
+def serialize(effect) -> str | None:
     """What one effect carries, as text; None where it leaves nothing outside the process."""
     if isinstance(effect, effects.Send):
         return json.dumps(['send', effect.address, effect.frame, effect.may_compress])
@@ -58,7 +58,7 @@
     """An observer of a node's effects that feeds them to a digest."""
 
     def observe(node, effect):
-        text = text_of(effect)
+        text = serialize(effect)
         if text is not None:
             digest.update(f'{node.world.now.total_seconds()} {node.name} {text}\n'.encode())
 
--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -1,6 +1,6 @@
 """First starts under many seeds: each process has its own seeds, of any role, never itself, some stale.
 
-`cut_short` has all processes lose power, once or twice, while the cluster forms, and some control nodes lose their disks.
+`interrupt` has all processes lose power, once or twice, while the cluster forms, and some control nodes lose their disks.
 
   python -m zinctrail.simulation.first_starts --search=200 [--seed=1] [--shape=accra] [--stale=0.2] [--how=split]
       [--at-once=8]
@@ -21,24 +21,24 @@
 ms = durations.ms
 
 # How the processes start: all at once, over half a minute, under loss, cut into two groups, or cut short.
-HOWS = ('together', 'late', 'lossy', 'split', 'split_uneven', 'split_roles', 'cut_short')
+MODES = ('together', 'late', 'lossy', 'split', 'split_uneven', 'split_roles', 'cut_short')
 # The most disks that are lost by a first start that is cut short, and when it is cut short, the second time too.
-MOST_DISKS_LOST = 2
-CUT_SHORT_FROM_MS, CUT_SHORT_BY_MS = 600, 4000
+MAX_DISKS_LOST = 2
+INTERRUPT_FROM_MS, INTERRUPT_BY_MS = 600, 4000
 # How much later than the others a process may come back, and how many processes are so late, as a share.
-LATE_BACK_MS, LATE_BACK_SHARE = 20000, 0.3
-SEEDS_EACH = 3
+LATE_RESTART_MS, LATE_RESTART_SHARE = 20000, 0.3
+SEEDS_PER_PROCESS = 3
 
 
 class FirstStart:
     """One first start of a shape.
 
     :param stale: how many of all seeds nobody answers, as a share.
-    :param how: one of HOWS.
+    :param how: one of MODES.
     """
 
-    def __init__(self, seed: int, shape: deployments.Shape, stale: float, how: str):
-        self.seed, self.how = seed, how
+    def __init__(self, seed: int, shape: deployments.Shape, stale: float, mode: str):
+        self.seed, self.mode = seed, mode
         self.rng = random.Random(f'boot/{seed}')
         self.world = simulated_world.World(seed)
         cells = deployments.zones_of(shape)
@@ -57,23 +57,23 @@
             f'10.99.0.{self.rng.randrange(1, 200)}:1000'
             if self.rng.random() < stale
             else self.world.nodes[other].location.addr
-            for other in self.rng.sample(others, SEEDS_EACH)
+            for other in self.rng.sample(others, SEEDS_PER_PROCESS)
         ]
 
     def run(self) -> typing.Self:
         """Play the start; returns itself."""
         world = self.world
-        latest_ms = 30000 if self.how == 'late' else 500
+        latest_ms = 30000 if self.mode == 'late' else 500
         for node in world.nodes.values():
             world.after(ms(self.rng.uniform(0, latest_ms)), node.start)
-        world.loss = 0.1 if self.how == 'lossy' else 0.0
-        if self.how == 'cut_short':
-            self.cut_short()
-        if self.how.startswith('split'):
+        world.loss = 0.1 if self.mode == 'lossy' else 0.0
+        if self.mode == 'cut_short':
+            self.interrupt()
+        if self.mode.startswith('split'):
             self.split()
-            world.run(ms(30000), self.look)
+            world.run(ms(30000), self.record_clusters)
             world.heal()
-        world.run(ms(60000), self.look)
+        world.run(ms(60000), self.record_clusters)
         world.loss = 0.0
         world.run(ms(40000), self.is_settled)
         return self
@@ -81,20 +81,20 @@
     def split(self) -> None:
         """Cut the processes into two groups: halves, a few against the rest, or control nodes apart."""
         names = sorted(self.world.nodes)
-        if self.how == 'split_roles':
+        if self.mode == 'split_roles':
             side = {name for name in names if name.startswith('core') and self.rng.random() < 0.5}
             side |= {name for name in names if not name.startswith('core') and self.rng.random() < 0.5}
         else:
-            count = len(names) // 2 if self.how == 'split' else self.rng.randrange(3, len(names) // 2)
+            count = len(names) // 2 if self.mode == 'split' else self.rng.randrange(3, len(names) // 2)
             side = set(self.rng.sample(names, count))
         self.world.partition(side)
 
-    def cut_short(self) -> None:
+    def interrupt(self) -> None:
         """End the start once or twice while the cluster forms; as many disks are lost in all as a majority bears."""
         control_nodes = self.world.of('core')
-        lost = self.rng.sample(control_nodes, min(MOST_DISKS_LOST, (len(control_nodes) - 1) // 2))
+        lost = self.rng.sample(control_nodes, min(MAX_DISKS_LOST, (len(control_nodes) - 1) // 2))
         for is_last in (False, True) if self.rng.random() < 0.5 else (True,):
-            self.world.run(ms(self.rng.uniform(CUT_SHORT_FROM_MS, CUT_SHORT_BY_MS)), self.look)
+            self.world.run(ms(self.rng.uniform(INTERRUPT_FROM_MS, INTERRUPT_BY_MS)), self.record_clusters)
             for node in self.world.nodes.values():
                 node.kill(power=True)
             for node in lost if is_last else lost[:1]:
@@ -102,10 +102,10 @@
             if not is_last:
                 lost = lost[1:]
             for node in self.world.nodes.values():
-                late_ms = LATE_BACK_MS if self.rng.random() < LATE_BACK_SHARE else 0
+                late_ms = LATE_RESTART_MS if self.rng.random() < LATE_RESTART_SHARE else 0
                 self.world.after(ms(self.rng.uniform(0, 500 + late_ms)), node.start)
 
-    def look(self) -> bool:
+    def record_clusters(self) -> bool:
         """Note which clusters can act; always false, so that a run goes on."""
         self.clusters |= {
             node.machine.cluster
@@ -116,7 +116,7 @@
 
     def is_settled(self) -> bool:
         """Whether a controller leads and every process knows its leader."""
-        self.look()
+        self.record_clusters()
         return self.world.leader() is not None and all(node.machine.leader for node in self.world.nodes.values())
 
     def verdict(self) -> str:
@@ -134,12 +134,12 @@
     seed: int
     shape: str
     stale: float
-    how: str
+    mode: str
 
 
 def play(job: Job) -> tuple[Job, str]:
     """A job with its verdict."""
-    return job, FirstStart(job.seed, deployments.PRESETS[job.shape], job.stale, job.how).run().verdict()
+    return job, FirstStart(job.seed, deployments.PRESETS[job.shape], job.stale, job.mode).run().verdict()
 
 
 def main(argv: list[str]) -> int:
@@ -149,21 +149,21 @@
         print(__doc__.strip())
         return 0 if 'help' in options else 2
     first, count = int(options.get('seed', 1)), int(options['search'])
-    hows = [options['how']] if 'how' in options else HOWS
+    modes = [options['how']] if 'how' in options else MODES
     jobs = [
-        Job(seed, options.get('shape', 'accra'), float(options.get('stale', 0.2)), how)
-        for how in hows
+        Job(seed, options.get('shape', 'accra'), float(options.get('stale', 0.2)), mode)
+        for mode in modes
         for seed in range(first, first + count)
     ]
     # Verdicts, by how the processes started.
     counts: dict[str, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     with multiprocessing.Pool(int(options.get('at-once', 8))) as pool:
         for job, verdict in pool.imap_unordered(play, jobs):
-            counts[job.how][verdict or 'one cluster'] += 1
+            counts[job.mode][verdict or 'one cluster'] += 1
             if 'clusters' in verdict:
-                print(f'{job.how} seed {job.seed}: {verdict}', flush=True)
-    for how in hows:
-        print(f'{how}: {dict(counts[how])}')
+                print(f'{job.mode} seed {job.seed}: {verdict}', flush=True)
+    for mode in modes:
+        print(f'{mode}: {dict(counts[mode])}')
     return 1 if any('clusters' in verdict for counter in counts.values() for verdict in counter) else 0
 
 
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -22,7 +22,7 @@
 
 ms = durations.ms
 
-LEAST_DELAY_MS = 0.2
+MIN_DELAY_MS = 0.2
 MEAN_EXTRA_DELAY_MS = 0.8
 CONNECT_TIMEOUT = ms(1000)
 
@@ -43,13 +43,13 @@
     # Whether bytes on links of bounded bandwidth count after compression.
     compresses = True
 
-    def __init__(self, rng: random.Random, bound: settings.Settings):
+    def __init__(self, rng: random.Random, custom_settings: settings.Settings):
         super().__init__()
         self.rng = rng
-        self.settings = bound
+        self.settings = custom_settings
         self.nodes: dict[str, simulated_node.Node] = {}
         self.by_address: dict[str, simulated_node.Node] = {}
-        self.by_http: dict[str, simulated_node.Node | simulated_node.Front] = {}
+        self.by_http: dict[str, simulated_node.Node | simulated_node.Ingress] = {}
         # Endpoints that are up, by address.
         self.endpoints: dict[str, typing.Any] = {}
         # A dict instead of a set: what is drawn from it must come in the same order every time.
@@ -80,7 +80,7 @@
         """Keep a line of the simulation's log."""
         raise NotImplementedError
 
-    def record_event(self, name: str, what: str, until: datetime.timedelta | None = None) -> None:
+    def record_event(self, name: str, kind: str, until: datetime.timedelta | None = None) -> None:
         """Note what happened to a process from outside."""
         raise NotImplementedError
 
@@ -89,9 +89,9 @@
     def delay(self, source: str = '', target: str = '') -> datetime.timedelta:
         """A random one-way delay."""
         random_part = self.rng.expovariate(1 / MEAN_EXTRA_DELAY_MS)
-        return ms(LEAST_DELAY_MS + random_part) + self.extra_delay + self.distance(source, target)
+        return ms(MIN_DELAY_MS + random_part) + self.extra_delay + self.extra_latency(source, target)
 
-    def distance(self, source: str, target: str) -> datetime.timedelta:
+    def extra_latency(self, source: str, target: str) -> datetime.timedelta:
         """What the way between two named parties takes more than the shortest."""
         return durations.ZERO
 
@@ -222,14 +222,14 @@
                 self.after(self.delay(name, caller), done, result)
 
         call = effects.HttpRequest(method, path, {header.lower(): value for header, value in headers.items()}, body)
-        self.after(self.delay(caller, name), self.arrive, server, server.incarnation, call, reply, deferred)
+        self.after(self.delay(caller, name), self.deliver_call, server, server.incarnation, call, reply, deferred)
         return deferred
 
-    def give_up(self, deferred: defer.Deferred) -> None:
+    def abandon_call(self, deferred: defer.Deferred) -> None:
         """End a call whose caller has closed its connection: its server sees the end."""
         settle(deferred, effects.HttpResult(fault='given up'))
 
-    def arrive(
+    def deliver_call(
         self,
         server: typing.Any,
         incarnation: int,
--- a/zinctrail/simulation/node.py
+++ b/zinctrail/simulation/node.py
@@ -19,7 +19,7 @@
 if typing.TYPE_CHECKING:
     import zinctrail.simulation.world as simulated_world
 
-MACHINES = {'dir': daemon.Directory, 'prox': proxy_node.Proxy}
+STATE_MACHINES = {'dir': daemon.Directory, 'prox': proxy_node.Proxy}
 # A timer must not fire before its time on a clock that drifts, so its time is rounded up by this.
 ROUNDING = datetime.timedelta(microseconds=2)
 
@@ -29,7 +29,7 @@
 
     at: datetime.timedelta
     name: str
-    what: str
+    kind: str
     until: datetime.timedelta
 
 
@@ -105,7 +105,7 @@
         """The state machine of this role; a control node whose files are damaged starts empty."""
         settings = self.world.settings
         if self.role != 'core':
-            return MACHINES[self.role](self.location, settings, rng)
+            return STATE_MACHINES[self.role](self.location, settings, rng)
         try:
             return controller.Controller(self.location, settings, rng, dict(self.disk.files))
         except errors.CorruptionError as error:
@@ -122,14 +122,14 @@
         self.up = False
         self.incarnation += 1
         if power:
-            self.disk.power_lost()
+            self.disk.lose_power()
         for callback in self.requests.values():
             callback(effects.HttpResult(fault='connection lost'))
         self.requests = {}
         # The kernel closes a dead process's connections, which its peers notice, and endpoints too.
         if not power:
             for deferred in self.fetches.values():
-                self.world.after(self.world.delay(), self.world.give_up, deferred)
+                self.world.after(self.world.delay(), self.world.abandon_call, deferred)
         self.fetches = {}
         for other in self.world.nodes.values():
             if other.up and other is not self and not self.world.is_cut(self.name, other.name):
@@ -191,7 +191,7 @@
         if self.disk.stall:
             # The whole process waits for its disk, since it runs one loop on one thread.
             self.pause(self.disk.stall)
-        if self.world.die_in_write and self.world.die_in_write(self, effect):
+        if self.world.power_loss_after_write and self.world.power_loss_after_write(self, effect):
             self.kill(power=True)
         return True
 
@@ -260,7 +260,7 @@
         """Close the connection of a call: its endpoint sees that a little later."""
         deferred = self.fetches.pop(effect.fetch_id, None)
         if deferred is not None:
-            self.world.after(self.world.delay(), self.world.give_up, deferred)
+            self.world.after(self.world.delay(), self.world.abandon_call, deferred)
 
     def do_log(self, effect: effects.Log) -> None:
         """Keep a log line."""
@@ -268,11 +268,11 @@
         self.log_records.append(LogRecord(self.world.now, effect.text, effect.fields))
         self.world.log(f'{self.name}: {effect.text}')
 
-    def do_done(self, effect: effects.NotifyDurable) -> None:
+    def do_notify_durable(self, effect: effects.NotifyDurable) -> None:
         """Report that a write is durable, as an input of its own."""
         self.world.after(durations.ZERO, self.feed_incarnation, self.incarnation, 'done', effect.name)
 
-    def do_leave(self, effect: effects.DrainOpenTraffic) -> None:
+    def do_drain(self, effect: effects.DrainOpenTraffic) -> None:
         """Refuse new connections of open traffic, if the proxy shuts its address."""
         self.refuses_connections = self.refuses_connections or effect.stops_listening
 
@@ -281,11 +281,11 @@
         self.exited = True
         self.kill()
 
-    def do_nothing(self, effect: typing.Any) -> None:
+    def ignore_effect(self, effect: typing.Any) -> None:
         """For effects that matter to real sockets only."""
 
 
-class Front:
+class Ingress:
     """The address at which a proxy accepts open traffic."""
 
     def __init__(self, node: Node):
@@ -310,10 +310,10 @@
     effects.HttpResponse: Node.do_response,
     effects.HttpFetch: Node.do_fetch,
     effects.CancelFetch: Node.do_cancel,
-    effects.CloseConnections: Node.do_nothing,
+    effects.CloseConnections: Node.ignore_effect,
     effects.Log: Node.do_log,
-    effects.NotifyDurable: Node.do_done,
-    effects.DrainOpenTraffic: Node.do_leave,
-    effects.Limits: Node.do_nothing,
+    effects.NotifyDurable: Node.do_notify_durable,
+    effects.DrainOpenTraffic: Node.do_drain,
+    effects.Limits: Node.ignore_effect,
     effects.Exit: Node.do_exit,
 }
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -40,7 +40,7 @@
         self.cells[name] = cell
         return super().add(name, role, cell, *args, **kwargs)
 
-    def distance(self, source: str, target: str) -> datetime.timedelta:
+    def extra_latency(self, source: str, target: str) -> datetime.timedelta:
         """What the way takes longer between zones and between regions."""
         here = self.cells.get(source)
         there = self.cells.get(target)
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -33,11 +33,11 @@
 SHAPES = terms.SHAPES
 FAULTS = registry.OPEN
 # What a search puts in the place of one lost disk too many.
-ALONE = 'node_kill_master'
+FALLBACK_FAULT = 'node_kill_master'
 # Faults after which a control node's disk, or the node, is gone: no two of them belong into one day.
-LOSE_DISK = ('replace_core', 'replace_core_planned', 'after_ack_wipe', 'wipe_after_ack', 'roll_term_remove_core')
+DISK_LOSS_FAULTS = ('replace_core', 'replace_core_planned', 'after_ack_wipe', 'wipe_after_ack', 'roll_term_remove_core')
 # Faults that strike once, at the end of a day.
-CLOSING = ('power_off_all', 'wipe_after_ack', 'kill_all')
+CLOSING_FAULTS = ('power_off_all', 'wipe_after_ack', 'kill_all')
 
 
 class Scenario(simulated_scenario.Scenario):
@@ -51,12 +51,12 @@
     def __init__(
         self,
         seed: int,
-        names: typing.Iterable[str] = (),
+        fault_groups: typing.Iterable[str] = (),
         shape: str = 'small',
         length: datetime.timedelta = ms(30000),
         trace: bool = False,
         rate: float | None = None,
-        coord: bool = True,
+        with_applications: bool = True,
         drift: float | None = None,
     ):
         """
@@ -65,9 +65,9 @@
         :param drift: how far clocks are off at most, as a share; by the seed if None.
         """
         self.shape = terms.SHAPES[shape]
-        super().__init__(seed, names, shape, length, open_world.World(seed, terms.bound(self.shape), trace))
+        super().__init__(seed, fault_groups, shape, length, open_world.World(seed, terms.bound(self.shape), trace))
         self.rate = rate
-        self.coord = coord
+        self.with_applications = with_applications
         self.drift = self.draw_drift() if drift is None else drift
         self.deployment = open_deployment.Deployment(self.world, self.shape)
 
@@ -76,19 +76,19 @@
         world = self.world
         self.start_load()
         world.run(ms(4000))
-        names = [name for name in self.names if name not in CLOSING]
-        time_each = self.length / max(1, len(names))
-        for name in names:
+        fault_groups = [name for name in self.fault_groups if name not in CLOSING_FAULTS]
+        time_each = self.length / max(1, len(fault_groups))
+        for name in fault_groups:
             began = world.now
-            self.note(f'fault {name}')
-            self.strike(name)
+            self.log(f'fault {name}')
+            self.inject(name)
             world.run(max(ms(0), began + time_each - world.now))
-        if not names:
+        if not fault_groups:
             world.run(self.length)
         world.run(ms(9000))
-        for name in self.names:
-            if name in CLOSING:
-                self.close(name)
+        for name in self.fault_groups:
+            if name in CLOSING_FAULTS:
+                self.run_closing_fault(name)
         self.deployment.stop_load()
         self.read_back()
         return self
@@ -98,7 +98,7 @@
         self.set_clocks()
         self.deployment.start()
         self.deployment.start_clients(self.rate)
-        if self.coord:
+        if self.with_applications:
             self.deployment.start_applications()
 
     def read_back(self) -> None:
@@ -110,23 +110,23 @@
                     application.get(f'g{group}.{cell}')
         self.world.run(ms(9000))
 
-    def close(self, name: str) -> None:
+    def run_closing_fault(self, name: str) -> None:
         """A closing fault: right after one more change was acknowledged; traffic goes on through the recovery."""
         world = self.world
         struck_at: list[datetime.timedelta] = []
 
-        def strike(node: str) -> None:
+        def inject(node: str) -> None:
             """Begin the fault at the first acknowledgement."""
             if not struck_at:
                 struck_at.append(world.now)
                 FAULTS[name](self, node)
 
-        self.deployment.on_acknowledged = strike
+        self.deployment.on_acknowledged = inject
         open_operators.change_timeout(self)
         world.run(ms(12000), lambda: bool(struck_at))
         self.deployment.on_acknowledged = None
         if not struck_at:
-            self.miss(name)
+            self.record_ineffective(name)
             return
         world.run(ms(4000))
         self.deployment.notes.closings.append(open_notes.Closing(struck_at[0], world.now, name))
--- a/zinctrail/simulation/scenario.py
+++ b/zinctrail/simulation/scenario.py
@@ -12,7 +12,7 @@
 ms = durations.ms
 
 # How long after the faults before a colon those after it begin: while the first are under repair, or just after it.
-FOLLOWS_MS = (100, 3000)
+FOLLOW_UP_DELAY_MS = (100, 3000)
 # How much faster or slower clocks run at most, as a share: most days have clocks that agree.
 CLOCK_DRIFTS = (0.0, 0.0, 0.02)
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         seed: int,
-        names: typing.Iterable[str],
+        fault_groups: typing.Iterable[str],
         shape: str,
         length: datetime.timedelta,
         world: simulated_world.World,
@@ -45,31 +45,31 @@
         :param length: how long all faults take together.
         """
         self.seed = seed
-        self.names = list(names)
+        self.fault_groups = list(fault_groups)
         self.shape_name = shape
         self.length = length
         self.world = world
         self.rng = random.Random(f'day/{seed}')
         # Draws what kind of day it is, so that a search over seeds goes through all kinds.
-        self.kind_rng = random.Random(f'mix/{seed}')
+        self.variant_rng = random.Random(f'mix/{seed}')
         # How far clocks are off at most, as a share.
         self.drift = 0.0
         # Faults that found nothing to break, so that they prove nothing.
-        self.missed: list[str] = []
+        self.ineffective: list[str] = []
 
     def draw_drift(self) -> float:
         """How far clocks are off at most on the day of this seed, as a share."""
-        return self.kind_rng.choice(CLOCK_DRIFTS)
+        return self.variant_rng.choice(CLOCK_DRIFTS)
 
     # -- what faults use ------------------------------------------------------
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Write a line into the world's log."""
         self.world.log(f'day: {text}')
 
-    def miss(self, name: str) -> None:
+    def record_ineffective(self, name: str) -> None:
         """Note that a fault found nothing to break."""
-        self.missed.append(name)
+        self.ineffective.append(name)
 
     def pick(self, role: str) -> simulated_node.Node:
         """A random process of a role that is up; any if none is, so that the fault finds nothing to break."""
@@ -106,13 +106,13 @@
         for node in self.world.nodes.values():
             node.clock_rate = 1.0 + self.rng.uniform(-self.drift, self.drift)
 
-    def strike(self, group: str) -> None:
+    def inject(self, group: str) -> None:
         """Begin all faults of a group, and run until whatever may come back is back."""
         world = self.world
         back_at: list[datetime.timedelta] = []
         for position, together in enumerate(group.split(':')):
             if position > 0:
-                world.run(ms(self.rng.uniform(*FOLLOWS_MS)))
+                world.run(ms(self.rng.uniform(*FOLLOW_UP_DELAY_MS)))
             back_at += [world.now + self.faults[name](self) for name in together.split('+')]
         # The longest counts, since nothing may be called lost until all of it may be back.
         world.run(max(ms(0), max(back_at) - world.now))
@@ -133,5 +133,5 @@
         """The command that plays this day again."""
         return (
             f'python -m {self.module} --seed={self.seed} --shape={self.shape_name}'
-            f' --faults={",".join(self.names)} --seconds={self.length.total_seconds():g}'
+            f' --faults={",".join(self.fault_groups)} --seconds={self.length.total_seconds():g}'
         )
--- a/zinctrail/simulation/search.py
+++ b/zinctrail/simulation/search.py
@@ -19,7 +19,7 @@
 class Job(typing.NamedTuple):
     """One day to play; random faults by the seed where none are named."""
 
-    kind: str
+    module: str
     seed: int
     shape: str
     seconds: float
@@ -27,7 +27,7 @@
     names: list[str]
 
 
-class Finding(typing.NamedTuple):
+class Result(typing.NamedTuple):
     """What a day showed."""
 
     seed: int
@@ -37,28 +37,28 @@
     replay: str
     figures: dict[str, float]
     # Faults that found something to break.
-    hits: list[str]
+    effective_faults: list[str]
 
     def checkers(self) -> set[str]:
         """The names of the checkers that found something."""
         return {verdict.split(':', 1)[0] for verdict in self.verdicts}
 
 
-def plan(seed: int, kind: types.ModuleType) -> list[str]:
+def plan(seed: int, module: types.ModuleType) -> list[str]:
     """The faults of a seed's day, out of those of a module of days."""
     rng = random.Random(f'plan/{seed}')
     groups = []
     lost_disks = 0
     for _ in range(rng.randrange(1, 4)):
-        names = rng.sample(sorted(set(kind.FAULTS) - set(kind.CLOSING)), rng.choice((1, 1, 2, 2, 3)))
+        names = rng.sample(sorted(set(module.FAULTS) - set(module.CLOSING_FAULTS)), rng.choice((1, 1, 2, 2, 3)))
         # One of these a day: two disks of three lost at once are beyond what is promised (operate/recover.md).
-        for name in [name for name in names if name in kind.LOSE_DISK]:
+        for name in [name for name in names if name in module.DISK_LOSS_FAULTS]:
             lost_disks += 1
             if lost_disks > 1:
                 names.remove(name)
-        groups.append(join_randomly(rng, names) if names else kind.ALONE)
-    if kind.CLOSING and rng.random() < 0.3:
-        possible = [name for name in kind.CLOSING if not (lost_disks and name in kind.LOSE_DISK)]
+        groups.append(join_randomly(rng, names) if names else module.FALLBACK_FAULT)
+    if module.CLOSING_FAULTS and rng.random() < 0.3:
+        possible = [name for name in module.CLOSING_FAULTS if not (lost_disks and name in module.DISK_LOSS_FAULTS)]
         groups.append(rng.choice(possible))
     return groups
 
@@ -71,42 +71,50 @@
     return group
 
 
-def play(job: Job) -> Finding:
+def play(job: Job) -> Result:
     """Play one day; an exception becomes a finding, since one broken seed must not hide the others."""
-    kind = importlib.import_module(job.kind)
-    names = job.names or plan(job.seed, kind)
+    module = importlib.import_module(job.module)
+    names = job.names or plan(job.seed, module)
     try:
-        scenario = kind.Scenario(job.seed, names, job.shape, durations.ms(1000 * job.seconds), rate=job.rate).run()
+        scenario = module.Scenario(job.seed, names, job.shape, durations.ms(1000 * job.seconds), rate=job.rate).run()
         verdicts = scenario.verdicts()
-        hits = [name for group in names for name in registry.names_of(group) if name not in scenario.missed]
-        return Finding(
-            job.seed, names, verdicts, scenario.deployment.tally(), scenario.replay_command(), scenario.figures(), hits
+        effective_faults = [
+            name for group in names for name in registry.names_of(group) if name not in scenario.ineffective
+        ]
+        return Result(
+            job.seed,
+            names,
+            verdicts,
+            scenario.deployment.tally(),
+            scenario.replay_command(),
+            scenario.figures(),
+            effective_faults,
         )
     except Exception as error:
         where = traceback.format_exc().strip().splitlines()[-3].strip()
         verdict = f'broke: {type(error).__name__}: {error} at {where}'
         replay = (
-            f'python -m {job.kind} --seed={job.seed} --shape={job.shape}'
+            f'python -m {job.module} --seed={job.seed} --shape={job.shape}'
             f' --faults={",".join(names)} --seconds={job.seconds:g}'
         )
-        return Finding(job.seed, names, [verdict], {}, replay, {}, [])
+        return Result(job.seed, names, [verdict], {}, replay, {}, [])
 
 
 # -- the least set of faults ------------------------------------------------------
 
 
-def links(group: str) -> list[tuple[str, str]]:
+def split_group(group: str) -> list[tuple[str, str]]:
     """A group as (how it is joined to the one before, fault)."""
     parts = re.split('([+:])', f'+{group}')
     return list(zip(parts[1::2], parts[2::2], strict=True))
 
 
-def group_of(joined_names: list[tuple[str, str]]) -> str:
+def join_group(joined_names: list[tuple[str, str]]) -> str:
     """The group that links() took apart."""
     return ''.join(how + name for how, name in joined_names)[1:]
 
 
-def without(groups: list[list[tuple[str, str]]], position: int) -> list[list[tuple[str, str]]]:
+def remove_fault(groups: list[list[tuple[str, str]]], position: int) -> list[list[tuple[str, str]]]:
     """The groups without the fault at a position, counted over all groups."""
     kept = []
     number = 0
@@ -126,21 +134,21 @@
 
     def found(groups: list[list[tuple[str, str]]]) -> set[str]:
         """The names of the checkers that find something with these faults."""
-        return play(job._replace(names=[group_of(group) for group in groups])).checkers()
+        return play(job._replace(names=[join_group(group) for group in groups])).checkers()
 
-    groups = [links(group) for group in job.names]
+    groups = [split_group(group) for group in job.names]
     wanted = found(groups)
     if not wanted:
         print('nothing is found with all of them')
         return 0
     position = 0
     while position < sum(map(len, groups)):
-        fewer = without(groups, position)
+        fewer = remove_fault(groups, position)
         if fewer and wanted & found(fewer):
             groups = fewer
         else:
             position += 1
-    print(f'{sorted(wanted)} stays with --faults={",".join(map(group_of, groups))}')
+    print(f'{sorted(wanted)} stays with --faults={",".join(map(join_group, groups))}')
     return 1
 
 
@@ -153,43 +161,45 @@
     def __init__(self):
         self.checkers: collections.Counter[str] = collections.Counter()
         self.tally: collections.Counter[str] = collections.Counter()
-        self.hits: collections.Counter[str] = collections.Counter()
-        self.bad_seeds = 0
+        self.effective_faults: collections.Counter[str] = collections.Counter()
+        self.failing_seeds = 0
         # The worst value of each figure, and its seed.
         self.worst: dict[str, tuple[float, int]] = {}
 
-    def add(self, finding: Finding) -> None:
+    def add(self, result: Result) -> None:
         """Count in what one day showed."""
-        self.tally.update(finding.tally)
-        self.hits.update(finding.hits)
-        for name, value in finding.figures.items():
+        self.tally.update(result.tally)
+        self.effective_faults.update(result.effective_faults)
+        for name, value in result.figures.items():
             if name not in self.worst or value > self.worst[name][0]:
-                self.worst[name] = (value, finding.seed)
-        if finding.verdicts:
-            self.bad_seeds += 1
-            self.checkers.update(finding.checkers())
+                self.worst[name] = (value, result.seed)
+        if result.verdicts:
+            self.failing_seeds += 1
+            self.checkers.update(result.checkers())
 
 
-def search(jobs: list[Job], at_once: int) -> int:
-    """Play many days, `at_once` of them at a time; returns the exit status."""
+def search(jobs: list[Job], workers: int) -> int:
+    """Play many days, `workers` of them at a time; returns the exit status."""
     totals = Totals()
-    with multiprocessing.Pool(at_once) as pool:
-        for number, finding in enumerate(pool.imap_unordered(play, jobs), 1):
+    with multiprocessing.Pool(workers) as pool:
+        for number, result in enumerate(pool.imap_unordered(play, jobs), 1):
             if number % PROGRESS_EVERY == 0:
                 # Now and then, so that a search that is stopped was not for nothing.
-                print(f'... {number} seeds, {totals.bad_seeds} with faults; worst {totals.worst}', flush=True)
-            totals.add(finding)
-            if finding.verdicts:
+                print(f'... {number} seeds, {totals.failing_seeds} with faults; worst {totals.worst}', flush=True)
+            totals.add(result)
+            if result.verdicts:
                 print(
-                    f'seed {finding.seed} {finding.names}: {len(finding.verdicts)} faults\n  '
-                    + '\n  '.join(finding.verdicts[:4])
-                    + f'\n  replay: {finding.replay}',
+                    f'seed {result.seed} {result.names}: {len(result.verdicts)} faults\n  '
+                    + '\n  '.join(result.verdicts[:4])
+                    + f'\n  replay: {result.replay}',
                     flush=True,
                 )
-    print(f'{len(jobs)} seeds, {totals.bad_seeds} with faults: {dict(totals.checkers)}; outcomes {dict(totals.tally)}')
+    print(
+        f'{len(jobs)} seeds, {totals.failing_seeds} with faults: {dict(totals.checkers)}; outcomes {dict(totals.tally)}'
+    )
     print(f'worst (value, seed): {totals.worst}')
-    print(f'days that each fault hit: {dict(sorted(totals.hits.items()))}')
+    print(f'days that each fault hit: {dict(sorted(totals.effective_faults.items()))}')
     if jobs and not jobs[0].names:
-        faults = importlib.import_module(jobs[0].kind).FAULTS
-        print(f'never hit: {sorted(set(faults) - set(totals.hits))}')
-    return 1 if totals.bad_seeds else 0
+        faults = importlib.import_module(jobs[0].module).FAULTS
+        print(f'never hit: {sorted(set(faults) - set(totals.effective_faults))}')
+    return 1 if totals.failing_seeds else 0
--- a/zinctrail/simulation/virtual_time.py
+++ b/zinctrail/simulation/virtual_time.py
@@ -6,7 +6,7 @@
 
 import zinctrail.runtime.durations as durations
 
-RUN_MOST = durations.ms(60000)
+DEFAULT_RUN_LENGTH = durations.ms(60000)
 
 
 class Timer:
@@ -54,8 +54,8 @@
     def run(
         self, length: datetime.timedelta | None = None, until: typing.Callable[[], typing.Any] | None = None
     ) -> bool:
-        """Run for `length` (RUN_MOST by default), or until until() is true; return whether it became true."""
-        end = self.now + (RUN_MOST if length is None else length)
+        """Run for `length` (DEFAULT_RUN_LENGTH by default), or until until() is true; return whether it became true."""
+        end = self.now + (DEFAULT_RUN_LENGTH if length is None else length)
         while self.events and self.events[0][0] <= end:
             if until is not None and until():
                 return True
--- a/zinctrail/simulation/world.py
+++ b/zinctrail/simulation/world.py
@@ -14,33 +14,33 @@
 import zinctrail.simulation.network as network
 import zinctrail.simulation.node as simulated_node
 
-LINES_KEPT = 20000
+MAX_LOG_LINES = 20000
 
 
 class World(network.Network):
     """All processes of a deployment and the network between them."""
 
-    def __init__(self, seed: int, bound: settings.Settings | None = None, trace: bool = False):
-        super().__init__(random.Random(seed), bound or settings.Settings())
+    def __init__(self, seed: int, custom_settings: settings.Settings | None = None, trace: bool = False):
+        super().__init__(random.Random(seed), custom_settings or settings.Settings())
         self.seed = seed
         # Whether log lines are printed.
         self.trace = trace
         self.lines: list[tuple[datetime.timedelta, str]] = []
         # Called with (node, effect) after each write; the machine loses power if it returns true.
-        self.die_in_write: typing.Callable[[simulated_node.Node, typing.Any], bool] | None = None
+        self.power_loss_after_write: typing.Callable[[simulated_node.Node, typing.Any], bool] | None = None
         self.process_events: list[simulated_node.ProcessEvent] = []
 
-    def record_event(self, name: str, what: str, until: datetime.timedelta | None = None) -> None:
+    def record_event(self, name: str, kind: str, until: datetime.timedelta | None = None) -> None:
         """Note what happened to a process from outside, and until when it lasts."""
-        self.process_events.append(simulated_node.ProcessEvent(self.now, name, what, until or self.now))
+        self.process_events.append(simulated_node.ProcessEvent(self.now, name, kind, until or self.now))
 
     def log(self, text: str) -> None:
-        """Keep a line, of which the last LINES_KEPT stay at most."""
+        """Keep a line, of which the last MAX_LOG_LINES stay at most."""
         if self.trace:
             print(f'{self.now.total_seconds():9.3f} {text}')
         self.lines.append((self.now, text))
-        if len(self.lines) > LINES_KEPT:
-            del self.lines[: LINES_KEPT // 2]
+        if len(self.lines) > MAX_LOG_LINES:
+            del self.lines[: MAX_LOG_LINES // 2]
 
     def add(
         self,
@@ -63,11 +63,11 @@
         number = len(self.by_address) + 1
         addr = addr or f'10.0.{number >> 8}.{number & 255}:1000'
         http = addr.rpartition(':')[0] + ':80'
-        front_address = http + '80' if front else ''
-        location = node_location.NodeLocation(addr, http, cell, list(seeds), front_address, directory, first_start)
+        ingress_address = http + '80' if front else ''
+        location = node_location.NodeLocation(addr, http, cell, list(seeds), ingress_address, directory, first_start)
         node = simulated_node.Node(self, name, role, location)
         if front:
-            self.by_http[node.location.front] = simulated_node.Front(node)
+            self.by_http[node.location.front] = simulated_node.Ingress(node)
         self.nodes[name] = node
         self.by_address[addr] = node
         self.by_http[http] = node
