--- a/zinctrail/simulation/__init__.py
+++ b/zinctrail/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation: a whole fleet in virtual time from one seed, its faults, checkers and measurements."""
+"""Deterministic simulation of a whole fleet in virtual time from one seed: faults, checkers and measurements."""
--- a/zinctrail/simulation/command.py
+++ b/zinctrail/simulation/command.py
@@ -1,4 +1,4 @@
-"""The command that plays simulated days: one day, a search over seeds, or the least set of faults."""
+"""The command that runs simulated scenarios: one scenario, a search over seeds, or shrinking a set of faults."""
 
 import dataclasses
 import datetime
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass
 class Options:
-    """What the command was asked for, of the form --name=value."""
+    """The options of the command, each given as --name=value."""
 
     seed: int = 1
     shape: str = 'small'
@@ -22,13 +22,13 @@
     trace: bool = False
     help: bool = False
     shrink: bool = False
-    # How many seeds to search, and how many of them at a time.
+    # The number of seeds to search, and how many of them run at a time.
     seeds_to_search: int | None = None
     workers: int = 8
 
     @classmethod
     def parse(cls, argv: list[str]) -> 'Options':
-        """Read the arguments; unknown ones are passed over."""
+        """Parse the arguments; unknown ones are ignored."""
         given = dict(argument.lstrip('-').partition('=')[::2] for argument in argv)
         return cls(
             seed=int(given.get('seed', 1)),
@@ -44,31 +44,31 @@
         )
 
     def length(self) -> datetime.timedelta:
-        """How long the faults of the day take together."""
+        """Return the time that all groups of faults of the scenario share."""
         return durations.ms(1000 * self.seconds)
 
     def job(self, module: str, seed: int) -> search.Job:
-        """The day of a seed, as a search plays it."""
+        """Return the job of a search that runs the scenario of a seed."""
         return search.Job(module, seed, self.shape, self.seconds, self.rate, self.faults)
 
 
 def print_help(module: types.ModuleType, text: str) -> None:
-    """Print what the command takes."""
+    """Print the usage of the command."""
     print(text.strip())
     print(
         '\n  --search=N   N seeds of random faults from --seed on, --at-once=8 of them at a time'
-        '\n  --shrink     the fewest of --faults that still bring about what they do'
+        '\n  --shrink     find a smaller set of --faults with which one of the same checkers still finds a violation'
         f'\n  --shape={"|".join(module.SHAPES)}  --seconds=N  --rate=N  --trace'
         f'\n\nFaults: {", ".join(module.FAULTS)}'
     )
 
 
 def main(argv: list[str], module: types.ModuleType, text: str) -> int:
-    """Run the command for one kind of days.
+    """Run the command for one scenario module.
 
-    :param kind: the module whose Scenario, FAULTS and SHAPES are meant.
-    :param text: its help.
-    :returns: the exit status: 0 if nothing was found, 1 if something was, 2 for a fault that does not exist.
+    :param module: the module with the Scenario, FAULTS and SHAPES to use.
+    :param text: the help text of the module.
+    :returns: the exit status: 0 without violations, 1 with violations, 2 if a named fault does not exist.
     """
     options = Options.parse(argv)
     if options.help:
@@ -85,16 +85,16 @@
         return 2
     if options.shrink:
         return search.shrink(options.job(module.__name__, options.seed))
-    return play(module, options)
+    return run_scenario(module, options)
 
 
-def play(module: types.ModuleType, options: Options) -> int:
-    """Play one day and print what it found."""
+def run_scenario(module: types.ModuleType, options: Options) -> int:
+    """Run one scenario and print its figures and violations."""
     scenario = module.Scenario(
         options.seed, options.faults, options.shape, options.length(), options.trace, rate=options.rate
     ).run()
     verdicts = scenario.verdicts()
-    ineffective = f' found nothing to break: {scenario.ineffective}' if scenario.ineffective else ''
+    ineffective = f' faults without a target: {scenario.ineffective}' if scenario.ineffective else ''
     print(f'{scenario.deployment.tally()} worst {scenario.figures()}{ineffective}')
     for verdict in verdicts:
         print(verdict)
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -1,10 +1,10 @@
-"""Days of callers that use the client library, and the faults on them.
+"""Simulated scenarios with callers that use the client library.
 
   python -m zinctrail.simulation.days --seed=7 --faults=kill_master,split_core
 
-Each fault begins, schedules its own end, and returns how long until all that
-may come back has come back. Names joined by + begin together; a name after a
-colon begins a moment after those before it.
+Each fault begins, schedules its own end, and returns the time until everything
+that can recover has recovered. Faults joined by + begin together; a fault after
+a colon begins a moment after those before it.
 """
 
 import datetime
@@ -36,11 +36,11 @@
 
 SHAPES = deployments.PRESETS
 FAULTS = registry.CLIENT
-# What a search puts in the place of one lost disk too many.
+# The fault that a search plans for a group that is empty because its faults would have lost a second disk.
 FALLBACK_FAULT = 'kill_master'
-# Faults after which a control node's disk is gone: no two of them belong into one day.
+# Faults that lose the disk of a control node: no two of them may be in one scenario.
 DISK_LOSS_FAULTS = ('replace_core', 'lose_disk', 'damage_disk', 'region_for_good', 'cell_for_good', 'machine_for_good')
-# Faults that strike once, at the end of a day; none of this kind.
+# Faults that occur once, at the end of a scenario; these scenarios have none.
 CLOSING_FAULTS = ()
 
 READ_INTERVAL = ms(1500)
@@ -48,7 +48,7 @@
 
 
 class Scenario(simulated_scenario.Scenario):
-    """One seeded run with callers that use the client library."""
+    """A seeded run with callers that use the client library."""
 
     faults = FAULTS
     module = 'zinctrail.simulation.days'
@@ -69,11 +69,12 @@
         drift: float | None = None,
     ):
         """
-        :param coord: whether applications use locks, numbers, keys and watches.
-        :param rate: requests a second of all callers; the shape's by default.
-        :param wild: how often a caller ignores its answer and goes to any proxy.
-        :param plain: whether endpoints link no library; by the seed if None.
-        :param drift: how far clocks are off at most, as a share; by the seed if None.
+        :param with_applications: whether applications use locks, numbers, keys and watches.
+        :param rate: requests per second of all callers together; the shape's by default.
+        :param any_proxy_share: the fraction of requests for which a caller ignores its lookup response and uses any
+            proxy.
+        :param plain: whether endpoints do not use the zinctrail library; drawn from the seed if None.
+        :param drift: the greatest error of clock rates, as a fraction; drawn from the seed if None.
         """
         self.shape = deployments.PRESETS[shape]
         if custom_settings is None and 'herd' in self.shape:
@@ -87,12 +88,12 @@
         self.deployment = client_deployment.Deployment(self.world, self.shape, plain=self.plain)
 
     def first_service_endpoints(self) -> list[endpoint_actor.Endpoint]:
-        """The endpoints of the service whose name sorts first."""
+        """Return the endpoints of the service whose name sorts first."""
         service = sorted(self.shape['services'])[0]
         return [endpoint for endpoint in self.deployment.endpoints if endpoint.service == service]
 
     def run(self) -> typing.Self:
-        """Play the day; returns itself."""
+        """Run the scenario; returns itself."""
         world = self.world
         notes = self.deployment.notes
         self.start_load()
@@ -103,7 +104,7 @@
             notes.begins.append(world.now)
             self.log(f'fault {name}')
             self.inject(name)
-            # From here on everything that may come back is back.
+            # From here on, everything that can recover has recovered.
             notes.losses.append(actor_notes.Loss(world.now, name))
             world.run(max(ms(0), began + time_each - world.now))
         if not self.fault_groups:
@@ -113,13 +114,13 @@
         return self
 
     def start_load(self) -> None:
-        """Start the deployment and everybody who uses it."""
+        """Start the deployment and all its users."""
         deployment = self.deployment
         self.set_clocks()
         deployment.start()
         deployment.operator.watch_status()
         deployment.start_callers(self.rate, any_proxy_share=self.any_proxy_share)
-        # Some with home regions, since the rule about them needs such traffic.
+        # Some callers send requests with home regions, because the checker of home regions needs such traffic.
         for number, cell in enumerate(deployment.cells[:2]):
             services = sorted(self.shape['services'])
             caller = caller_actor.Caller(deployment, f'home{number}', cell, services, 2, [cell.split('/')[0]])
@@ -130,27 +131,27 @@
         self.read_periodically()
 
     def read_periodically(self) -> None:
-        """Let the operator read the configuration back, again and again."""
+        """Have the operator read the configuration every READ_INTERVAL."""
         if self.world.now < LAST_READ_AT:
             self.deployment.operator.read()
             self.world.after(READ_INTERVAL, self.read_periodically)
 
     def verdicts(self, only: str | None = None) -> list[str]:
-        """What happened that must never happen, of all checkers or of one."""
+        """Return the violations that all checkers found, or only those of the checker `only`."""
         return checks.run(self.deployment, only)
 
     def figures(self) -> dict[str, float]:
-        """The worst that was seen against each bound."""
+        """Return the worst value that was measured for each bounded quantity."""
         return checks.figures(self.deployment)
 
 
 def main(argv: list[str]) -> int:
-    """The command; returns its exit status."""
+    """Run the command; returns its exit status."""
     return command.main(argv, sys.modules[__name__], __doc__)
 
 
 if __name__ == '__main__':
-    # By its name: run as a script, this module would be there twice.
+    # Runs the copy that is imported by name; the module would otherwise be loaded twice, as __main__ and by its name.
     import zinctrail.simulation.days as days
 
     sys.exit(days.main(sys.argv[1:]))
--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -1,6 +1,6 @@
 """First starts under many seeds: each process has its own seeds, of any role, never itself, some stale.
 
-`interrupt` has all processes lose power, once or twice, while the cluster forms, and some control nodes lose their disks.
+`cut_short` has all processes lose power, once or twice, while the cluster forms, and some control nodes lose their disks.
 
   python -m zinctrail.simulation.first_starts --search=200 [--seed=1] [--shape=accra] [--stale=0.2] [--how=split]
       [--at-once=8]
@@ -137,7 +137,7 @@
     mode: str
 
 
-def play(job: Job) -> tuple[Job, str]:
+def run_job(job: Job) -> tuple[Job, str]:
     """A job with its verdict."""
     return job, FirstStart(job.seed, deployments.PRESETS[job.shape], job.stale, job.mode).run().verdict()
 
@@ -158,7 +158,7 @@
     # Verdicts, by how the processes started.
     counts: dict[str, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     with multiprocessing.Pool(int(options.get('at-once', 8))) as pool:
-        for job, verdict in pool.imap_unordered(play, jobs):
+        for job, verdict in pool.imap_unordered(run_job, jobs):
             counts[job.mode][verdict or 'one cluster'] += 1
             if 'clusters' in verdict:
                 print(f'{job.mode} seed {job.seed}: {verdict}', flush=True)
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -1,11 +1,11 @@
-"""Days of open traffic: what faults a platform brings, and days made of them.
+"""Simulated scenarios with open traffic, under the faults of a platform.
 
   python -m zinctrail.simulation.open_days --seed=7 --faults=roll_term+config_change,zone_loss
   python -m zinctrail.simulation.open_days --search=200 --seed=1
 
-The names of faults are those of the platform's, with a word for each way they
-come. Machines, disks and networks fail as in simulation.days, whose faults are
-used where they are the same.
+Faults have the platform's names, with a suffix for each variant. Machines,
+disks and networks fail as in simulation.days, whose faults are used where they
+are the same.
 """
 
 import datetime
@@ -32,16 +32,16 @@
 
 SHAPES = terms.SHAPES
 FAULTS = registry.OPEN
-# What a search puts in the place of one lost disk too many.
+# The fault that a search plans for a group that is empty because its faults would have lost a second disk.
 FALLBACK_FAULT = 'node_kill_master'
-# Faults after which a control node's disk, or the node, is gone: no two of them belong into one day.
+# Faults that lose the disk of a control node, or the node: no two of them may be in one scenario.
 DISK_LOSS_FAULTS = ('replace_core', 'replace_core_planned', 'after_ack_wipe', 'wipe_after_ack', 'roll_term_remove_core')
-# Faults that strike once, at the end of a day.
+# Faults that occur once, at the end of a scenario.
 CLOSING_FAULTS = ('power_off_all', 'wipe_after_ack', 'kill_all')
 
 
 class Scenario(simulated_scenario.Scenario):
-    """One seeded run: start, load, faults, a closing fault where one is named, a quiet end, read-back, verdicts."""
+    """A seeded run: start, load, faults, a period without faults, closing faults if named, read-back, verdicts."""
 
     faults = FAULTS
     module = 'zinctrail.simulation.open_days'
@@ -60,9 +60,9 @@
         drift: float | None = None,
     ):
         """
-        :param rate: requests a second of all clients; the shape's by default.
-        :param coord: whether applications use locks, numbers, cells and watches.
-        :param drift: how far clocks are off at most, as a share; by the seed if None.
+        :param rate: requests per second of all clients together; the shape's by default.
+        :param with_applications: whether applications use locks, numbers, cells and watches.
+        :param drift: the greatest error of clock rates, as a fraction; drawn from the seed if None.
         """
         self.shape = terms.SHAPES[shape]
         super().__init__(seed, fault_groups, shape, length, open_world.World(seed, terms.bound(self.shape), trace))
@@ -72,7 +72,7 @@
         self.deployment = open_deployment.Deployment(self.world, self.shape)
 
     def run(self) -> typing.Self:
-        """Play the day; returns itself."""
+        """Run the scenario; returns itself."""
         world = self.world
         self.start_load()
         world.run(ms(4000))
@@ -94,7 +94,7 @@
         return self
 
     def start_load(self) -> None:
-        """Start the deployment and everybody who uses it."""
+        """Start the deployment and all its users."""
         self.set_clocks()
         self.deployment.start()
         self.deployment.start_clients(self.rate)
@@ -102,7 +102,7 @@
             self.deployment.start_applications()
 
     def read_back(self) -> None:
-        """Read all items and cells once the load is gone."""
+        """Read all configured items and all cells after the load has stopped."""
         self.deployment.operator.read()
         for application in self.deployment.applications:
             for group in range(terms.GROUPS):
@@ -111,12 +111,12 @@
         self.world.run(ms(9000))
 
     def run_closing_fault(self, name: str) -> None:
-        """A closing fault: right after one more change was acknowledged; traffic goes on through the recovery."""
+        """Inject a fault right after one more change was acknowledged; traffic continues during the recovery."""
         world = self.world
         struck_at: list[datetime.timedelta] = []
 
         def inject(node: str) -> None:
-            """Begin the fault at the first acknowledgement."""
+            """Begin the fault at the first acknowledgement, and at no later one."""
             if not struck_at:
                 struck_at.append(world.now)
                 FAULTS[name](self, node)
@@ -133,27 +133,27 @@
         world.run(ms(22000))
 
     def verdicts(self, only: str | None = None) -> list[str]:
-        """What happened that must never happen, of all checkers or of one."""
+        """Return the violations that all checkers found, or only those of the checker `only`."""
         return open_checks.run(self.deployment, only)
 
     def figures(self) -> dict[str, float]:
-        """The worst that was seen against each bound."""
+        """Return the worst value that was measured for each bounded quantity."""
         return open_checks.figures(self.deployment)
 
-    # -- what faults use ------------------------------------------------------
+    # -- helpers for faults ---------------------------------------------------
 
     def sample(self, endpoints: list[open_endpoint.Endpoint], share: float) -> list[open_endpoint.Endpoint]:
-        """A random share, one at least, of those endpoints that are ready."""
+        """Return a random sample of a share of the endpoints that are ready: at least one, unless none is ready."""
         ready = [endpoint for endpoint in endpoints if endpoint.up and endpoint.state == 'ready']
         return self.rng.sample(ready, max(1, round(share * len(ready)))) if ready else []
 
     def sample_of_a_service(self, share: float = 0.3) -> list[open_endpoint.Endpoint]:
-        """A random share of a random service's endpoints."""
+        """Return a random sample of a share of the endpoints of a random service."""
         service = self.rng.choice(sorted(terms.SERVICES))
         return self.sample(self.deployment.of(service), share)
 
     def random_rule(self) -> dict:
-        """A random rule that clients send requests for."""
+        """Return a random rule that clients send requests for."""
         rules = [
             rule
             for rule in self.deployment.rules.values()
@@ -163,12 +163,12 @@
 
 
 def main(argv: list[str]) -> int:
-    """The command; returns its exit status."""
+    """Run the command; returns its exit status."""
     return command.main(argv, sys.modules[__name__], __doc__)
 
 
 if __name__ == '__main__':
-    # By its name: run as a script, this module would be there twice.
+    # Runs the copy that is imported by name; the module would otherwise be loaded twice, as __main__ and by its name.
     import zinctrail.simulation.open_days as open_days
 
     sys.exit(open_days.main(sys.argv[1:]))
--- a/zinctrail/simulation/scenario.py
+++ b/zinctrail/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What simulated days of all kinds of traffic share: a seed, a world, faults, and verdicts."""
+"""The base class of simulated scenarios of both kinds of traffic: a seed, a world, faults and verdicts."""
 
 import datetime
 import random
@@ -11,24 +11,25 @@
 
 ms = durations.ms
 
-# How long after the faults before a colon those after it begin: while the first are under repair, or just after it.
+# The delay between the faults before a colon and those after it: the system is still recovering from the former, or has
+# just recovered.
 FOLLOW_UP_DELAY_MS = (100, 3000)
-# How much faster or slower clocks run at most, as a share: most days have clocks that agree.
+# The greatest error of clock rates, as a fraction; one is drawn per scenario. Two of three have exact clocks.
 CLOCK_DRIFTS = (0.0, 0.0, 0.02)
 
 
 class Scenario:
-    """One seeded run: start, load, faults, a quiet end, verdicts.
+    """One seeded run: start, load, faults, a period without faults, verdicts.
 
-    Names of faults that are joined by + begin together; a name after a colon
-    begins a moment after those before it.
+    Faults whose names are joined by + begin together; a fault after a colon
+    begins FOLLOW_UP_DELAY_MS after those before it.
     """
 
-    # Set by each kind of day: its registry of faults, and the module that the command runs.
+    # Set by each subclass: its registry of faults, and the module that runs it as a command.
     faults: typing.ClassVar[registry.Registry]
     module: typing.ClassVar[str]
 
-    # Set by each kind of day: the processes and users of its kind of traffic.
+    # Set by each subclass: the processes and users of its kind of traffic.
     deployment: typing.Any
 
     def __init__(
@@ -40,9 +41,9 @@
         world: simulated_world.World,
     ):
         """
-        :param names: groups of faults, in their order.
+        :param fault_groups: groups of faults, in the order in which they begin.
         :param shape: the name of the deployment's shape.
-        :param length: how long all faults take together.
+        :param length: the time that all groups of faults share.
         """
         self.seed = seed
         self.fault_groups = list(fault_groups)
@@ -50,29 +51,29 @@
         self.length = length
         self.world = world
         self.rng = random.Random(f'day/{seed}')
-        # Draws what kind of day it is, so that a search over seeds goes through all kinds.
+        # Draws the variant (drift, plain endpoints), so that a search over seeds covers all variants.
         self.variant_rng = random.Random(f'mix/{seed}')
-        # How far clocks are off at most, as a share.
+        # The greatest error of clock rates, as a fraction.
         self.drift = 0.0
-        # Faults that found nothing to break, so that they prove nothing.
+        # Faults that had no target, so that the run proves nothing about them.
         self.ineffective: list[str] = []
 
     def draw_drift(self) -> float:
-        """How far clocks are off at most on the day of this seed, as a share."""
+        """Draw the greatest error of clock rates for this seed, as a fraction."""
         return self.variant_rng.choice(CLOCK_DRIFTS)
 
-    # -- what faults use ------------------------------------------------------
+    # -- helpers for faults ---------------------------------------------------
 
     def log(self, text: str) -> None:
         """Write a line into the world's log."""
-        self.world.log(f'day: {text}')
+        self.world.log(f'scenario: {text}')
 
     def record_ineffective(self, name: str) -> None:
-        """Note that a fault found nothing to break."""
+        """Record that a fault had no target."""
         self.ineffective.append(name)
 
     def pick(self, role: str) -> simulated_node.Node:
-        """A random process of a role that is up; any if none is, so that the fault finds nothing to break."""
+        """Return a random process of a role that is up, or any if none is up; a fault then has no effect."""
         nodes = self.world.of(role)
         return self.rng.choice([node for node in nodes if node.up] or nodes)
 
@@ -81,7 +82,7 @@
         self.world.after(delay, function, *args)
 
     def repeat(self, times: int, pause: datetime.timedelta, function: typing.Callable, *args: typing.Any) -> None:
-        """Call a function now and then again after each pause, `times` times in all."""
+        """Call a function `times` times: now, and again after each `pause`."""
         for number in range(times):
             self.later(pause * number, function, *args)
 
@@ -90,7 +91,7 @@
         self.later(delay, self.start_unless_up, node)
 
     def start_unless_up(self, node: simulated_node.Node) -> None:
-        """Start a process, unless something else has started it."""
+        """Start a process, unless it is up already."""
         if not node.up:
             node.start()
 
@@ -102,35 +103,35 @@
     # -- the run ----------------------------------------------------------------
 
     def set_clocks(self) -> None:
-        """Let each machine's clock run at a rate of its own, within the day's drift."""
+        """Give each machine's clock a random rate within the scenario's drift."""
         for node in self.world.nodes.values():
             node.clock_rate = 1.0 + self.rng.uniform(-self.drift, self.drift)
 
     def inject(self, group: str) -> None:
-        """Begin all faults of a group, and run until whatever may come back is back."""
+        """Begin all faults of a group, and run until everything that can recover has recovered."""
         world = self.world
         back_at: list[datetime.timedelta] = []
         for position, together in enumerate(group.split(':')):
             if position > 0:
                 world.run(ms(self.rng.uniform(*FOLLOW_UP_DELAY_MS)))
             back_at += [world.now + self.faults[name](self) for name in together.split('+')]
-        # The longest counts, since nothing may be called lost until all of it may be back.
+        # Waits for the slowest recovery, since nothing may be counted as lost until everything that can recover has done so.
         world.run(max(ms(0), max(back_at) - world.now))
 
     def run(self) -> typing.Self:
-        """Play the day; returns itself."""
+        """Run the scenario; returns itself."""
         raise NotImplementedError
 
     def verdicts(self, only: str | None = None) -> list[str]:
-        """What happened that must never happen, of all checkers or of one."""
+        """Return the violations that all checkers found, or only those of the checker `only`."""
         raise NotImplementedError
 
     def figures(self) -> dict[str, float]:
-        """The worst that was seen against each bound."""
+        """Return the worst value that was measured for each bounded quantity."""
         raise NotImplementedError
 
     def replay_command(self) -> str:
-        """The command that plays this day again."""
+        """Return the command that replays this scenario."""
         return (
             f'python -m {self.module} --seed={self.seed} --shape={self.shape_name}'
             f' --faults={",".join(self.fault_groups)} --seconds={self.length.total_seconds():g}'
--- a/zinctrail/simulation/search.py
+++ b/zinctrail/simulation/search.py
@@ -1,4 +1,4 @@
-"""A search over seeds: random faults, alone and several at once, on several cores of the machine."""
+"""A search over seeds: scenarios with random faults, alone and combined, in several processes."""
 
 import collections
 import importlib
@@ -12,46 +12,47 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.faults.registry as registry
 
-# How often a search prints what it has so far, in seeds.
+# A search prints its interim results after so many seeds.
 PROGRESS_EVERY = 100
 
 
 class Job(typing.NamedTuple):
-    """One day to play; random faults by the seed where none are named."""
+    """A scenario to run; its faults are drawn from the seed if none are named."""
 
     module: str
     seed: int
     shape: str
     seconds: float
     rate: float | None
-    names: list[str]
+    fault_groups: list[str]
 
 
 class Result(typing.NamedTuple):
-    """What a day showed."""
+    """The result of one scenario."""
 
     seed: int
-    names: list[str]
+    fault_groups: list[str]
     verdicts: list[str]
     tally: dict[str, int]
     replay: str
     figures: dict[str, float]
-    # Faults that found something to break.
+    # Faults that took effect, because they had a target.
     effective_faults: list[str]
 
     def checkers(self) -> set[str]:
-        """The names of the checkers that found something."""
+        """Return the names of the checkers that found a violation."""
         return {verdict.split(':', 1)[0] for verdict in self.verdicts}
 
 
 def plan(seed: int, module: types.ModuleType) -> list[str]:
-    """The faults of a seed's day, out of those of a module of days."""
+    """Draw the fault groups of a seed's scenario from the faults of a scenario module."""
     rng = random.Random(f'plan/{seed}')
     groups = []
     lost_disks = 0
     for _ in range(rng.randrange(1, 4)):
         names = rng.sample(sorted(set(module.FAULTS) - set(module.CLOSING_FAULTS)), rng.choice((1, 1, 2, 2, 3)))
-        # One of these a day: two disks of three lost at once are beyond what is promised (operate/recover.md).
+        # One of these per scenario: the loss of two disks of three at once is not covered by the guarantees
+        # (operate/recover.md).
         for name in [name for name in names if name in module.DISK_LOSS_FAULTS]:
             lost_disks += 1
             if lost_disks > 1:
@@ -64,26 +65,28 @@
 
 
 def join_randomly(rng: random.Random, names: list[str]) -> str:
-    """A group of faults: most begin together, some follow on the one before."""
+    """Join faults into a group: most begin together, some follow the one before."""
     group = names[0]
     for name in names[1:]:
         group += rng.choice('++:') + name
     return group
 
 
-def play(job: Job) -> Result:
-    """Play one day; an exception becomes a finding, since one broken seed must not hide the others."""
+def run_job(job: Job) -> Result:
+    """Run one scenario; an exception becomes a verdict, because one failing seed must not end the search."""
     module = importlib.import_module(job.module)
-    names = job.names or plan(job.seed, module)
+    fault_groups = job.fault_groups or plan(job.seed, module)
     try:
-        scenario = module.Scenario(job.seed, names, job.shape, durations.ms(1000 * job.seconds), rate=job.rate).run()
+        scenario = module.Scenario(
+            job.seed, fault_groups, job.shape, durations.ms(1000 * job.seconds), rate=job.rate
+        ).run()
         verdicts = scenario.verdicts()
         effective_faults = [
-            name for group in names for name in registry.names_of(group) if name not in scenario.ineffective
+            name for group in fault_groups for name in registry.names_of(group) if name not in scenario.ineffective
         ]
         return Result(
             job.seed,
-            names,
+            fault_groups,
             verdicts,
             scenario.deployment.tally(),
             scenario.replay_command(),
@@ -95,28 +98,28 @@
         verdict = f'broke: {type(error).__name__}: {error} at {where}'
         replay = (
             f'python -m {job.module} --seed={job.seed} --shape={job.shape}'
-            f' --faults={",".join(names)} --seconds={job.seconds:g}'
+            f' --faults={",".join(fault_groups)} --seconds={job.seconds:g}'
         )
-        return Result(job.seed, names, [verdict], {}, replay, {}, [])
+        return Result(job.seed, fault_groups, [verdict], {}, replay, {}, [])
 
 
-# -- the least set of faults ------------------------------------------------------
+# -- shrinking a set of faults ----------------------------------------------------
 
 
 def split_group(group: str) -> list[tuple[str, str]]:
-    """A group as (how it is joined to the one before, fault)."""
+    """Split a group into pairs (the sign that joins the fault to the one before, fault)."""
     parts = re.split('([+:])', f'+{group}')
     return list(zip(parts[1::2], parts[2::2], strict=True))
 
 
 def join_group(joined_names: list[tuple[str, str]]) -> str:
-    """The group that links() took apart."""
-    return ''.join(how + name for how, name in joined_names)[1:]
+    """Join the pairs of split_group() into a group again."""
+    return ''.join(sign + name for sign, name in joined_names)[1:]
 
 
 def remove_fault(groups: list[list[tuple[str, str]]], position: int) -> list[list[tuple[str, str]]]:
-    """The groups without the fault at a position, counted over all groups."""
-    kept = []
+    """Return the groups without the fault at a position, which counts over all groups."""
+    remaining = []
     number = 0
     for group in groups:
         rest: list[tuple[str, str]] = []
@@ -125,21 +128,21 @@
                 rest.append(link)
             number += 1
         if rest:
-            kept.append(rest)
-    return kept
+            remaining.append(rest)
+    return remaining
 
 
 def shrink(job: Job) -> int:
-    """Leave out faults one by one for as long as the same kind of finding stays; prints what is left."""
+    """Remove faults one by one while at least one of the same checkers still finds a violation; prints the rest."""
 
     def found(groups: list[list[tuple[str, str]]]) -> set[str]:
-        """The names of the checkers that find something with these faults."""
-        return play(job._replace(names=[join_group(group) for group in groups])).checkers()
+        """Return the names of the checkers that find a violation with these faults."""
+        return run_job(job._replace(fault_groups=[join_group(group) for group in groups])).checkers()
 
-    groups = [split_group(group) for group in job.names]
+    groups = [split_group(group) for group in job.fault_groups]
     wanted = found(groups)
     if not wanted:
-        print('nothing is found with all of them')
+        print('no checker finds a violation with all of these faults')
         return 0
     position = 0
     while position < sum(map(len, groups)):
@@ -148,7 +151,7 @@
             groups = fewer
         else:
             position += 1
-    print(f'{sorted(wanted)} stays with --faults={",".join(map(join_group, groups))}')
+    print(f'checkers {sorted(wanted)} still find violations with --faults={",".join(map(join_group, groups))}')
     return 1
 
 
@@ -156,7 +159,7 @@
 
 
 class Totals:
-    """What all days of a search showed together."""
+    """The sums and extremes of all scenarios of a search."""
 
     def __init__(self):
         self.checkers: collections.Counter[str] = collections.Counter()
@@ -167,7 +170,7 @@
         self.worst: dict[str, tuple[float, int]] = {}
 
     def add(self, result: Result) -> None:
-        """Count in what one day showed."""
+        """Add the result of one scenario."""
         self.tally.update(result.tally)
         self.effective_faults.update(result.effective_faults)
         for name, value in result.figures.items():
@@ -179,27 +182,28 @@
 
 
 def search(jobs: list[Job], workers: int) -> int:
-    """Play many days, `workers` of them at a time; returns the exit status."""
+    """Run many scenarios, `workers` of them at a time; returns the exit status."""
     totals = Totals()
     with multiprocessing.Pool(workers) as pool:
-        for number, result in enumerate(pool.imap_unordered(play, jobs), 1):
+        for number, result in enumerate(pool.imap_unordered(run_job, jobs), 1):
             if number % PROGRESS_EVERY == 0:
-                # Now and then, so that a search that is stopped was not for nothing.
-                print(f'... {number} seeds, {totals.failing_seeds} with faults; worst {totals.worst}', flush=True)
+                # Printed regularly, so that a search that is interrupted still leaves results.
+                print(f'... {number} seeds, {totals.failing_seeds} with violations; worst {totals.worst}', flush=True)
             totals.add(result)
             if result.verdicts:
                 print(
-                    f'seed {result.seed} {result.names}: {len(result.verdicts)} faults\n  '
+                    f'seed {result.seed} {result.fault_groups}: {len(result.verdicts)} violations\n  '
                     + '\n  '.join(result.verdicts[:4])
                     + f'\n  replay: {result.replay}',
                     flush=True,
                 )
     print(
-        f'{len(jobs)} seeds, {totals.failing_seeds} with faults: {dict(totals.checkers)}; outcomes {dict(totals.tally)}'
+        f'{len(jobs)} seeds, {totals.failing_seeds} with violations: {dict(totals.checkers)};'
+        f' outcomes {dict(totals.tally)}'
     )
     print(f'worst (value, seed): {totals.worst}')
-    print(f'days that each fault hit: {dict(sorted(totals.effective_faults.items()))}')
-    if jobs and not jobs[0].names:
+    print(f'scenarios in which each fault took effect: {dict(sorted(totals.effective_faults.items()))}')
+    if jobs and not jobs[0].fault_groups:
         faults = importlib.import_module(jobs[0].module).FAULTS
-        print(f'never hit: {sorted(set(faults) - set(totals.effective_faults))}')
+        print(f'faults that never took effect: {sorted(set(faults) - set(totals.effective_faults))}')
     return 1 if totals.failing_seeds else 0
