--- a/zinctrail/simulation/disk.py
+++ b/zinctrail/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: whole files, with what survives a power loss kept apart."""
+"""A simulated disk: files as they are, and separately as they would survive a power loss."""
 
 import typing
 
@@ -10,25 +10,26 @@
 
 
 class Disk:
-    """One machine's disk: what is synced survives a power loss, what is not may be lost."""
+    """The disk of one machine: synced writes survive a power loss, unsynced writes may be lost."""
 
-    # Tests switch this off to show that the loss of unsynced writes is noticed: of all but the identity, since a node
-    # that has lost that, too, waits for the others and shows nobody an older state.
+    # Whether writes are synced. Tests switch this off to show that checkers detect the loss of unsynced writes. The
+    # identity file is always synced: a node that had lost it as well would wait for the others, and would not reveal
+    # its older state.
     syncs = True
 
     def __init__(self):
-        # Texts by name: as they are, and as they would survive a power loss.
+        # The contents of files by name: the current ones, and those that survive a power loss.
         self.files: dict[str, str] = {}
         self.synced: dict[str, str] = {}
         self.full = False
         # How long each write blocks its process.
         self.stall = durations.ZERO
         self.writes = 0
-        # Names of files that are no longer needed; writes reuse them, the oldest first.
+        # Names of files that are no longer needed; each write overwrites or removes the oldest.
         self.obsolete: list[str] = []
-        # Obsolete files that are removed instead of overwritten.
+        # Names of obsolete files that are removed and never overwritten.
         self.only_removed: set[str] = set()
-        # Chunks of files that are being written.
+        # The chunks of incomplete files, by file name.
         self.chunks: dict[str, list[str]] = {}
 
     def carry_out(self, effect: effects.Write | effects.WriteChunk | effects.CommitChunks) -> None:
@@ -45,7 +46,7 @@
             self.write(effect.name, effect.text, effect.obsolete_files, effect.may_be_read)
 
     def write_chunk(self, name: str, text: str, is_first: bool) -> None:
-        """Append a chunk to a file that is being written."""
+        """Append a chunk to an incomplete file; the first chunk begins the file anew."""
         if self.full:
             raise errors.DiskError('no space left', name)
         if is_first:
@@ -53,7 +54,7 @@
         self.chunks[name].append(text)
 
     def write(self, name: str, text: str, obsolete: typing.Iterable[str], only_remove: bool = False) -> None:
-        """Write a whole file, after which the files named in `obsolete` are no longer needed."""
+        """Write a complete file, after which the files named in `obsolete` are no longer needed."""
         if self.full:
             raise errors.DiskError('no space left', name)
         self.writes += 1
@@ -72,16 +73,16 @@
             self.synced[name] = text
 
     def lose_power(self) -> None:
-        """Go back to what was synced."""
+        """Revert the files to their synced contents."""
         self.chunks = {}
         self.files = dict(self.synced)
-        # The file that is being overwritten may have its old name and new bytes.
+        # The obsolete file that was being overwritten may have its old name and new bytes.
         for name in self.obsolete[:1]:
             if name in self.files and name not in self.only_removed:
                 self.files[name] = 'half written over'
 
     def wipe(self) -> None:
-        """Lose everything, as a replaced disk has."""
+        """Lose all files, as if the disk was replaced."""
         self.files = {}
         self.synced = {}
         self.obsolete = []
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -1,6 +1,6 @@
-"""The simulated network: delays, losses and partitions; frames between processes, and HTTP calls.
+"""The simulated network: frames between processes, HTTP calls, delays, losses and partitions.
 
-A link is named by the two parties at its ends, in the direction of the bytes.
+A link is one direction between two parties, identified by their names as (sender, receiver).
 """
 
 import datetime
@@ -28,19 +28,20 @@
 
 
 def settle(call: defer.Deferred, result: effects.HttpResult) -> None:
-    """Give a call its result, unless it has one already."""
+    """Fire the Deferred of a call with its result, unless it has fired already."""
     if not call.called:
         call.callback(result)
 
 
 class Network(virtual_time.Clock):
-    """Carries frames and HTTP calls between named parties, with the faults that are set."""
+    """Carries frames and HTTP calls between named parties, subject to the faults that are set."""
 
-    # Tests switch this off to show that a request reaches a newcomer at a reused address without it.
+    # Whether a new connection to an endpoint is checked for its incarnation. Tests switch this off to show that a
+    # request would then reach another endpoint that reuses the address.
     verifies_incarnations = True
-    # Whether callers that give up close their connection, as those of open traffic do.
+    # Whether callers that abandon a call close its connection, as callers of open traffic do.
     callers_hang_up = False
-    # Whether bytes on links of bounded bandwidth count after compression.
+    # Whether the bytes on links of limited bandwidth are counted after compression.
     compresses = True
 
     def __init__(self, rng: random.Random, custom_settings: settings.Settings):
@@ -52,70 +53,71 @@
         self.by_http: dict[str, simulated_node.Node | simulated_node.Ingress] = {}
         # Endpoints that are up, by address.
         self.endpoints: dict[str, typing.Any] = {}
-        # A dict instead of a set: what is drawn from it must come in the same order every time.
+        # Cut links. A dict instead of a set, because iteration must have the same order in every run.
         self.cuts: dict[tuple[str, str], bool] = {}
-        # Shares of frames that are lost and that arrive twice.
+        # The probabilities that a frame is lost, and that it arrives twice.
         self.loss = 0.0
         self.duplication = 0.0
         self.extra_delay = durations.ZERO
-        # How likely a reply over HTTP is lost on its way, by the name of its caller.
+        # The probability that an HTTP response is lost, by the name of its caller.
         self.reply_loss: dict[str, float] = {}
+        # The latest arrival that is scheduled on each link; later frames do not overtake it.
         self.last_arrivals: dict[tuple[str, str], datetime.timedelta] = {}
-        # Links of bounded bandwidth, in bytes a second, and when each is free again.
+        # The bandwidths of limited links in bytes per second, and the time at which each has sent all its bytes.
         self.bandwidths: dict[tuple[str, str], float] = {}
         self.link_free_at: dict[tuple[str, str], datetime.timedelta] = {}
-        # Bytes carried over those links, by the kind of frame.
+        # Bytes carried over limited links, by the kind of frame.
         self.link_bytes: dict[str, int] = {}
-        # Connections kept to endpoints: (caller, incarnation) -> (endpoint, its incarnation count).
+        # Open connections to endpoints: (caller, incarnation) -> (endpoint, its incarnation count).
         self.connections: dict[tuple[str, str], typing.Any] = {}
         self.verifications = 0
         self.inputs = 0
         self.frames = 0
-        # Bytes of frames by kind.
+        # The bytes of all frames, before compression, by kind.
         self.bytes: dict[str, int] = {}
         # Called with (sender, receiver, text) for each frame that arrives.
         self.on_deliver: typing.Callable[[simulated_node.Node, simulated_node.Node, str], typing.Any] | None = None
 
     def log(self, text: str) -> None:
-        """Keep a line of the simulation's log."""
+        """Append a line to the simulation's log."""
         raise NotImplementedError
 
     def record_event(self, name: str, kind: str, until: datetime.timedelta | None = None) -> None:
-        """Note what happened to a process from outside."""
+        """Record an external event of a process."""
         raise NotImplementedError
 
     # -- delays and faults ---------------------------------------------------
 
     def delay(self, source: str = '', target: str = '') -> datetime.timedelta:
-        """A random one-way delay."""
+        """Draw a one-way delay."""
         random_part = self.rng.expovariate(1 / MEAN_EXTRA_DELAY_MS)
         return ms(MIN_DELAY_MS + random_part) + self.extra_delay + self.extra_latency(source, target)
 
     def extra_latency(self, source: str, target: str) -> datetime.timedelta:
-        """What the way between two named parties takes more than the shortest."""
+        """Return the additional latency between two parties that are in different places; none by default."""
         return durations.ZERO
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """Cut the link from one party to another; `both`: in both directions."""
+        """Cut the link from one party to another, and the reverse link if `both`."""
         self.cuts[source, target] = True
         if both:
             self.cuts[target, source] = True
 
     def partition(self, side: typing.Iterable[str], others: typing.Iterable[str] | None = None) -> None:
-        """Cut a group of processes from all others, or from those named only."""
+        """Cut a group of processes from all other processes, or only from `others`."""
         for name in side:
             for other in self.nodes if others is None else others:
                 if other not in side:
                     self.cut(name, other)
 
     def isolate(self, name: str) -> None:
-        """Cut one party from all processes and all endpoints that are up, in both directions."""
+        """Cut one party from all processes and from all endpoints that are up, in both directions."""
         for other in [*self.nodes, *(endpoint.name for endpoint in self.endpoints.values())]:
             if other != name:
                 self.cut(name, other)
 
     def heal(self, *names: str) -> None:
-        """Heal all cuts, or those of the parties named."""
+        """Heal all cuts, or only those at the named parties."""
         self.cuts = {cut: True for cut in self.cuts if names and not (cut[0] in names or cut[1] in names)}
 
     def is_cut(self, source: str, target: str) -> bool:
@@ -123,7 +125,7 @@
         return (source, target) in self.cuts
 
     def reset(self, node: 'simulated_node.Node', share: float) -> None:
-        """Reset a share of a process's connections: those of callers, and those to other processes."""
+        """Reset a random share of a process's connections, both from callers and to other processes."""
         if not node.up:
             return
         self.record_event(node.name, 'reset')
@@ -139,7 +141,7 @@
     # -- frames between processes ----------------------------------------------
 
     def sent_at(self, source: str, target: str, kind: str, text: str, may_compress: bool) -> datetime.timedelta:
-        """When a frame has left its sender, over a link of bounded bandwidth."""
+        """Return the time at which a frame has left its sender: later than now if the link's bandwidth is limited."""
         bandwidth = self.bandwidths.get((source, target))
         if bandwidth is None:
             return self.now
@@ -151,12 +153,15 @@
         return self.link_free_at[source, target]
 
     def carry(self, source: 'simulated_node.Node', address: str, message: dict, may_compress: bool = False) -> None:
-        """Carry a frame between two processes; the order on a link is kept, as TCP does."""
+        """Carry a frame between two processes; frames on a link keep their order, as over TCP."""
         text = json.dumps(message)
         kind = message['t']
         if len(text) > self.settings.frame_most:
-            # transport.peer_connections refuses it too; compression is left out here.
-            self.log(f'{source.name}: frame {kind} of {len(text)} bytes is above the bound, not sent')
+            # transport.peer_connections refuses such a frame too; here its size is measured without compression.
+            self.log(
+                f'{source.name}: frame of kind {kind} not sent: its {len(text)} bytes are above the limit of'
+                f' {self.settings.frame_most}'
+            )
             return
         self.frames += 1
         self.bytes[kind] = self.bytes.get(kind, 0) + len(text)
@@ -178,7 +183,7 @@
     def deliver(
         self, source: 'simulated_node.Node', target: 'simulated_node.Node', incarnation: int, text: str
     ) -> None:
-        """Hand a frame to its receiver, if that incarnation is still up and the link is not cut."""
+        """Deliver a frame to its receiver, if it is still the same incarnation and the link is not cut."""
         if incarnation == target.incarnation and not self.is_cut(source.name, target.name):
             if self.on_deliver:
                 self.on_deliver(source, target, text)
@@ -196,11 +201,11 @@
         body: bytes,
         wait: datetime.timedelta,
     ) -> defer.Deferred:
-        """An HTTP call from anybody to a process or an endpoint: a Deferred of effects.HttpResult."""
+        """Make an HTTP call to a process or an endpoint; returns a Deferred of effects.HttpResult."""
         deferred: defer.Deferred = defer.Deferred()
 
         def done(result: effects.HttpResult) -> None:
-            """Fire with the first result; what comes after it is lost."""
+            """Fire with the first result; later ones are dropped."""
             settle(deferred, result)
 
         server: typing.Any = self.by_http.get(address) or self.endpoints.get(address)
@@ -217,7 +222,7 @@
             return deferred
 
         def reply(result: effects.HttpResult) -> None:
-            """Send the reply back, unless the link is cut or loses it."""
+            """Send the response back, unless the link is cut or loses it."""
             if not self.is_cut(name, caller) and not self.rng.random() < self.reply_loss.get(caller, 0.0):
                 self.after(self.delay(name, caller), done, result)
 
@@ -226,7 +231,7 @@
         return deferred
 
     def abandon_call(self, deferred: defer.Deferred) -> None:
-        """End a call whose caller has closed its connection: its server sees the end."""
+        """End a call whose caller has closed its connection, so that its server notices."""
         settle(deferred, effects.HttpResult(fault='given up'))
 
     def deliver_call(
@@ -237,40 +242,40 @@
         reply: typing.Callable,
         deferred: defer.Deferred,
     ) -> None:
-        """An HTTP call reaches the party whose incarnation it was sent to."""
+        """Deliver an HTTP call, if its server is still the incarnation that it was sent to; otherwise it fails."""
         if server.incarnation != incarnation or not server.up:
-            # A process that refuses connections, or that exited after doing so, closes those it has not read.
+            # A process that refuses connections, or that exited after doing so, closes connections without reading them.
             is_unread = getattr(server, 'refuses_connections', False)
             fault = 'closed unread' if is_unread else 'connection lost'
             reply(effects.HttpResult(sent=not is_unread, fault=fault))
             return
         request_id = server.call(call, reply)
         if self.callers_hang_up and request_id is not None:
-            # A caller that no longer waits closes its connection.
+            # The caller closes its connection when it has a result, be it a timeout, and the server notices.
             deferred.addCallback(lambda result: server.hang_up(request_id) or result)
 
     def fetch_endpoint(self, caller: str, effect: effects.HttpFetch) -> defer.Deferred:
-        """A call to one incarnation of an endpoint.
+        """Make a call to one incarnation of an endpoint.
 
-        A new connection is first asked for its incarnation, so that a request
-        never reaches a newcomer at the address.
+        On a new connection, the incarnation is queried first, so that a request
+        never reaches another endpoint that reuses the address.
         """
-        kept: tuple[typing.Any, int] = self.connections.get((caller, effect.incarnation), (None, 0))
-        endpoint, incarnation = kept
-        is_kept = (
+        connection: tuple[typing.Any, int] = self.connections.get((caller, effect.incarnation), (None, 0))
+        endpoint, incarnation = connection
+        is_reused = (
             endpoint is not None
             and self.endpoints.get(effect.address) is endpoint
             and endpoint.incarnation == incarnation
         )
         request = (effect.method, effect.path, effect.headers, effect.body)
-        if is_kept or effect.path == '/zt/live' or not self.verifies_incarnations:
+        if is_reused or effect.path == '/zt/live' or not self.verifies_incarnations:
             return self.fetch(caller, effect.address, *request, effect.wait)
         until = self.now + effect.wait
         self.verifications += 1
         deferred: defer.Deferred = defer.Deferred()
 
         def verified(result: effects.HttpResult) -> None:
-            """Send the request, if the endpoint is the incarnation that is meant and somebody still waits."""
+            """Send the request, if the endpoint is the expected incarnation and the caller still waits."""
             if deferred.called:
                 return
             found: typing.Any = self.endpoints.get(effect.address)
@@ -280,15 +285,13 @@
                 or found.admission.incarnation != effect.incarnation
             )
             if result.fault or is_other:
-                # Only the question about the incarnation was sent.
+                # Only the query of the incarnation was sent.
                 deferred.callback(effects.HttpResult(sent=False, fault=result.fault or 'another incarnation'))
                 return
             self.connections[caller, effect.incarnation] = (found, found.incarnation)
             call = self.fetch(caller, effect.address, *request, until - self.now)
             call.addCallback(lambda result: settle(deferred, result))
 
-        question = self.fetch(
-            caller, effect.address, 'GET', '/zt/live', {'zt-inc': effect.incarnation}, b'', effect.wait
-        )
-        question.addCallback(verified)
+        query = self.fetch(caller, effect.address, 'GET', '/zt/live', {'zt-inc': effect.incarnation}, b'', effect.wait)
+        query.addCallback(verified)
         return deferred
--- a/zinctrail/simulation/node.py
+++ b/zinctrail/simulation/node.py
@@ -1,4 +1,4 @@
-"""A simulated process of the system: it hosts a state machine as transport.host does."""
+"""A simulated process of the system, which hosts a state machine as transport.host does."""
 
 import datetime
 import random
@@ -20,12 +20,12 @@
     import zinctrail.simulation.world as simulated_world
 
 STATE_MACHINES = {'dir': daemon.Directory, 'prox': proxy_node.Proxy}
-# A timer must not fire before its time on a clock that drifts, so its time is rounded up by this.
+# Added to the time of a timer on a drifting clock, because rounding must not make it fire early.
 ROUNDING = datetime.timedelta(microseconds=2)
 
 
 class ProcessEvent(typing.NamedTuple):
-    """What happened to a process from outside: start, stop, exit, kill, pause or reset."""
+    """An external event of a process: start, stop, exit, kill, pause or reset."""
 
     at: datetime.timedelta
     name: str
@@ -34,7 +34,7 @@
 
 
 class LogRecord(typing.NamedTuple):
-    """A line that a process logged, with its fields."""
+    """A line that a process logged, and its fields."""
 
     at: datetime.timedelta
     text: str
@@ -42,9 +42,9 @@
 
 
 class Node:
-    """One of the system's processes, with its disk and its clock."""
+    """A process of the system, with its disk and its clock."""
 
-    # Called with (node, effect) for every effect, where a tool wants to see them.
+    # Called with (node, effect) for every effect; set by tools that record effects.
     observer: typing.Callable[['Node', typing.Any], typing.Any] | None = None
 
     def __init__(self, world: 'simulated_world.World', name: str, role: str, location: node_location.NodeLocation):
@@ -53,37 +53,37 @@
         self.role = role
         self.location = location
         self.disk = disk.Disk()
-        # The state machine of the role, once it was started.
+        # The state machine of the role; None before the first start.
         self.machine: typing.Any = None
         self.up = False
-        # Counts starts and ends: what was meant for an earlier incarnation is dropped.
+        # Incremented at each start and each end; inputs for an earlier incarnation are dropped.
         self.incarnation = 0
-        # Until when the process stands still, and the inputs that came meanwhile.
+        # The end of the current pause, and the inputs that arrived during it.
         self.paused: datetime.timedelta | None = None
         self.queued_inputs: list[tuple[str, tuple]] = []
-        # When the next timer is scheduled.
+        # The time of the next scheduled wake-up.
         self.wake_at: datetime.timedelta | None = None
-        # Callbacks of the HTTP requests under way, by request id.
+        # Callbacks of HTTP requests without a response yet, by request id.
         self.requests: dict[int, typing.Callable] = {}
-        # Calls to endpoints that have no result yet, by the id of their fetch.
+        # Calls to endpoints without a result yet, by fetch id.
         self.fetches: dict[int, defer.Deferred] = {}
-        # Lines with their times, and the same with their fields.
+        # Log lines with their times; `log_records` also has their fields.
         self.logs: list[tuple[datetime.timedelta, str]] = []
         self.log_records: list[LogRecord] = []
         self.exited = False
-        # Whether it accepts no new connections of open traffic.
+        # Whether new connections of open traffic are refused.
         self.refuses_connections = False
-        # The log level, where it is set.
+        # The log level of the state machine; None for its default.
         self.level: typing.Any = None
-        # How fast this machine's clock runs; 1.0 is right.
+        # The rate of this machine's clock; 1.0 is exact.
         self.clock_rate = 1.0
-        # A machine that is lost for good never starts again.
+        # Whether the machine is lost permanently; it then never starts again.
         self.destroyed = False
 
     # -- start and end -----------------------------------------------------
 
     def start(self) -> None:
-        """Start the process from what its disk holds; does nothing if the machine is lost for good."""
+        """Start the process from its disk; does nothing if the machine is lost permanently."""
         if self.destroyed:
             return
         self.incarnation += 1
@@ -95,27 +95,27 @@
         self.exited = False
         self.refuses_connections = False
         self.machine = self.new_machine(random.Random(f'{self.world.seed}/{self.name}/{self.incarnation}'))
-        # Any later start is not that of the whole system.
+        # Later starts are not part of the first start of the whole system.
         self.location.first_start = False
         if self.level is not None:
             self.machine.level = self.level
         self.feed('start')
 
     def new_machine(self, rng: random.Random) -> state_machine.StateMachine:
-        """The state machine of this role; a control node whose files are damaged starts empty."""
+        """Create the state machine of this role; a control node whose files are damaged starts empty."""
         settings = self.world.settings
         if self.role != 'core':
             return STATE_MACHINES[self.role](self.location, settings, rng)
         try:
             return controller.Controller(self.location, settings, rng, dict(self.disk.files))
         except errors.CorruptionError as error:
-            self.world.log(f'{self.name}: damaged, set aside: {error}')
+            self.world.log(f'{self.name}: discards its damaged files: {error}')
             self.disk.files = {}
             self.location.first_start = False
             return controller.Controller(self.location, settings, rng, {})
 
     def kill(self, power: bool = False) -> None:
-        """End the process at once; with `power`, unsynced writes are lost too."""
+        """End the process at once; with `power`, also lose unsynced writes, as in a power loss."""
         if not self.up:
             return
         self.world.record_event(self.name, 'exit' if self.exited else 'kill')
@@ -126,7 +126,8 @@
         for callback in self.requests.values():
             callback(effects.HttpResult(fault='connection lost'))
         self.requests = {}
-        # The kernel closes a dead process's connections, which its peers notice, and endpoints too.
+        # The kernel closes the connections of a dead process, and its peers notice; so do endpoints, unless the machine
+        # lost power.
         if not power:
             for deferred in self.fetches.values():
                 self.world.after(self.world.delay(), self.world.abandon_call, deferred)
@@ -138,13 +139,13 @@
                 )
 
     def pause(self, length: datetime.timedelta) -> None:
-        """Stand still, as a stopped or starved process does; inputs wait."""
+        """Pause the process, as if it was stopped or got no CPU time; its inputs are queued."""
         self.world.record_event(self.name, 'pause', self.world.now + length)
         self.paused = self.world.now + length
         self.world.at(self.paused, self.resume)
 
     def resume(self) -> None:
-        """Go on after a pause, with the inputs that came meanwhile."""
+        """End the pause if its time is over, and feed the queued inputs."""
         if self.paused is not None and self.world.now >= self.paused:
             self.paused = None
             queued = self.queued_inputs
@@ -156,7 +157,7 @@
     # -- inputs ------------------------------------------------------------
 
     def feed_incarnation(self, incarnation: int, kind: str, *args: typing.Any) -> None:
-        """Feed an input that is meant for one incarnation of the process only."""
+        """Feed an input if the process is still the given incarnation."""
         if incarnation == self.incarnation:
             self.feed(kind, *args)
 
@@ -182,21 +183,21 @@
         self.set_wake_up()
 
     def write(self, effect: effects.Write | effects.WriteChunk | effects.CommitChunks) -> bool:
-        """Carry out a disk write; False if the disk refused it. The process may lose power after the write."""
+        """Carry out a disk write; returns False if the disk refused it. The machine may lose power after the write."""
         try:
             self.disk.carry_out(effect)
         except errors.DiskError as error:
             self.world.after(durations.ZERO, self.feed_incarnation, self.incarnation, 'disk_fault', str(error))
             return False
         if self.disk.stall:
-            # The whole process waits for its disk, since it runs one loop on one thread.
+            # The whole process waits for its disk, since it runs a single-threaded event loop.
             self.pause(self.disk.stall)
         if self.world.power_loss_after_write and self.world.power_loss_after_write(self, effect):
             self.kill(power=True)
         return True
 
     def call(self, call: effects.HttpRequest, callback: typing.Callable, kind: str = 'http') -> int:
-        """An HTTP request arrives; returns its id."""
+        """Receive an HTTP request; returns its id. `callback` gets the result."""
         self.world.sequence += 1
         request_id = self.world.sequence
         self.requests[request_id] = callback
@@ -204,14 +205,14 @@
         return request_id
 
     def hang_up(self, request_id: int) -> None:
-        """The caller closed its connection."""
+        """Tell the process that the caller of a request closed its connection."""
         if self.requests.pop(request_id, None) is not None:
             self.feed('hung_up', request_id)
 
     # -- timers ------------------------------------------------------------
 
     def set_wake_up(self) -> None:
-        """Schedule the machine's next timer, unless an earlier one is scheduled."""
+        """Schedule a wake-up at the next timer of the state machine, unless an earlier one is scheduled."""
         if not self.up or self.paused is not None:
             return
         due = self.machine.next_timer()
@@ -224,7 +225,7 @@
             self.world.at(self.wake_at, self.wake, self.incarnation, self.wake_at)
 
     def wake(self, incarnation: int, due: datetime.timedelta) -> None:
-        """Fire the timers that are due, if this wake-up is still the next one."""
+        """Fire the timers that are due, unless this wake-up was superseded."""
         if incarnation != self.incarnation or self.wake_at != due:
             return
         self.wake_at = None
@@ -238,13 +239,13 @@
         self.world.carry(self, effect.address, effect.frame, effect.may_compress)
 
     def do_response(self, effect: effects.HttpResponse) -> None:
-        """Answer an HTTP request, unless its caller has gone."""
+        """Respond to an HTTP request, unless its caller has closed the connection."""
         callback = self.requests.pop(effect.request_id, None)
         if callback:
             callback(effects.HttpResult(effect.status, dict(effect.headers), effect.body))
 
     def do_fetch(self, effect: effects.HttpFetch) -> None:
-        """Call an endpoint; the result comes back as an input."""
+        """Call an endpoint; the result is fed as an input."""
         deferred = self.world.fetch_endpoint(self.name, effect)
         incarnation = self.incarnation
 
@@ -257,32 +258,32 @@
         deferred.addCallback(received)
 
     def do_cancel(self, effect: effects.CancelFetch) -> None:
-        """Close the connection of a call: its endpoint sees that a little later."""
+        """Close the connection of a call; its endpoint notices after the network delay."""
         deferred = self.fetches.pop(effect.fetch_id, None)
         if deferred is not None:
             self.world.after(self.world.delay(), self.world.abandon_call, deferred)
 
     def do_log(self, effect: effects.Log) -> None:
-        """Keep a log line."""
+        """Store a log line, and add it to the world's log."""
         self.logs.append((self.world.now, effect.text))
         self.log_records.append(LogRecord(self.world.now, effect.text, effect.fields))
         self.world.log(f'{self.name}: {effect.text}')
 
     def do_notify_durable(self, effect: effects.NotifyDurable) -> None:
-        """Report that a write is durable, as an input of its own."""
+        """Report that a write is durable, as a separate input."""
         self.world.after(durations.ZERO, self.feed_incarnation, self.incarnation, 'done', effect.name)
 
     def do_drain(self, effect: effects.DrainOpenTraffic) -> None:
-        """Refuse new connections of open traffic, if the proxy shuts its address."""
+        """Refuse new connections of open traffic if the proxy stops listening for them."""
         self.refuses_connections = self.refuses_connections or effect.stops_listening
 
     def do_exit(self, effect: effects.Exit) -> None:
-        """End, as the process has decided itself."""
+        """End the process at its own request."""
         self.exited = True
         self.kill()
 
     def ignore_effect(self, effect: typing.Any) -> None:
-        """For effects that matter to real sockets only."""
+        """Ignore an effect that only concerns real sockets."""
 
 
 class Ingress:
@@ -301,7 +302,7 @@
         return self.node.call(call, callback, 'front')
 
     def hang_up(self, request_id: int) -> None:
-        """The caller closed its connection."""
+        """Tell the proxy that the caller of a request closed its connection."""
         self.node.hang_up(request_id)
 
 
--- a/zinctrail/simulation/scenario.py
+++ b/zinctrail/simulation/scenario.py
@@ -115,7 +115,7 @@
             if position > 0:
                 world.run(ms(self.rng.uniform(*FOLLOW_UP_DELAY_MS)))
             back_at += [world.now + self.faults[name](self) for name in together.split('+')]
-        # Waits for the slowest recovery, since nothing may be counted as lost until everything that can recover has done so.
+        # Waits for the slowest recovery, since nothing counts as lost until everything that can recover has recovered.
         world.run(max(ms(0), max(back_at) - world.now))
 
     def run(self) -> typing.Self:
--- a/zinctrail/simulation/virtual_time.py
+++ b/zinctrail/simulation/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: events in a heap, run in the order of their time and of their scheduling."""
+"""Virtual time: an event loop that runs calls in the order of their time and then of their scheduling."""
 
 import datetime
 import heapq
@@ -13,19 +13,19 @@
     """A scheduled call that can be cancelled, as twisted's callLater returns it."""
 
     def __init__(self, function: typing.Callable[[], typing.Any]):
-        # None once it was run or cancelled.
+        # None after it has run or was cancelled.
         self.function: typing.Callable[[], typing.Any] | None = function
 
     def active(self) -> bool:
-        """Whether it is still to be run."""
+        """Return whether the call is still pending."""
         return self.function is not None
 
     def cancel(self) -> None:
-        """Do not run it."""
+        """Cancel the call."""
         self.function = None
 
     def __call__(self) -> None:
-        """Run it, unless it was cancelled; it runs once."""
+        """Run the call, unless it has run or was cancelled."""
         function = self.function
         self.function = None
         if function:
@@ -39,7 +39,7 @@
         self.now = durations.ZERO
         # (time, number, function, arguments)
         self.events: list[tuple[datetime.timedelta, int, typing.Callable, tuple]] = []
-        # Numbers events and requests; the number decides between events of the same time.
+        # The last number given to an event or request; events of the same time run in the order of their numbers.
         self.sequence = 0
 
     def at(self, when: datetime.timedelta, function: typing.Callable, *args: typing.Any) -> None:
@@ -67,11 +67,11 @@
         return False
 
     def callLater(self, delay: float, function: typing.Callable, *args: typing.Any) -> Timer:
-        """As twisted's IReactorTime, so that the client libraries run on virtual time; `delay` in seconds."""
+        """Schedule a call `delay` seconds from now, as twisted's IReactorTime, so that client libraries run here."""
         timer = Timer(lambda: function(*args))
         self.after(datetime.timedelta(seconds=delay), timer)
         return timer
 
     def seconds(self) -> float:
-        """The time as twisted has it, in seconds."""
+        """Return the virtual time in seconds, as twisted's IReactorTime."""
         return self.now.total_seconds()
--- a/zinctrail/simulation/world.py
+++ b/zinctrail/simulation/world.py
@@ -1,8 +1,8 @@
-"""A deterministic world: virtual time, network, disks and processes, all from one seed.
+"""A deterministic world: virtual time, network, disks and processes, all derived from one seed.
 
-It hosts the same state machines as transport.host does. Nothing here knows what
-a right result is: the checkers judge from what callers, endpoints and operators
-saw.
+It hosts the same state machines as transport.host. It does not decide whether a
+result is correct: the checkers do, from what callers, endpoints and operators
+observed.
 """
 
 import datetime
@@ -26,16 +26,16 @@
         # Whether log lines are printed.
         self.trace = trace
         self.lines: list[tuple[datetime.timedelta, str]] = []
-        # Called with (node, effect) after each write; the machine loses power if it returns true.
+        # Called with (node, effect) after each disk write; the machine loses power if it returns true.
         self.power_loss_after_write: typing.Callable[[simulated_node.Node, typing.Any], bool] | None = None
         self.process_events: list[simulated_node.ProcessEvent] = []
 
     def record_event(self, name: str, kind: str, until: datetime.timedelta | None = None) -> None:
-        """Note what happened to a process from outside, and until when it lasts."""
+        """Record an external event of a process, and the end of its duration."""
         self.process_events.append(simulated_node.ProcessEvent(self.now, name, kind, until or self.now))
 
     def log(self, text: str) -> None:
-        """Keep a line, of which the last MAX_LOG_LINES stay at most."""
+        """Append a line to the log, which holds at most the last MAX_LOG_LINES; print it if `trace` is set."""
         if self.trace:
             print(f'{self.now.total_seconds():9.3f} {text}')
         self.lines.append((self.now, text))
@@ -53,13 +53,13 @@
         directory: bool = False,
         first_start: bool = True,
     ) -> simulated_node.Node:
-        """Add a process that is not started yet.
+        """Add a process, without starting it.
 
-        :param front: whether it also accepts open traffic, at an address of its own.
+        :param front: whether it also accepts open traffic, at a separate address.
         :param directory: whether a control node also serves as a directory.
-        :param first_start: whether its first start is part of that of the whole system.
+        :param first_start: whether its first start is part of the first start of the whole system.
         """
-        # Counted over all that ever were: an address is not used again, even when its machine is lost for good.
+        # Counts all processes ever added: an address is not reused, even after its machine is lost permanently.
         number = len(self.by_address) + 1
         addr = addr or f'10.0.{number >> 8}.{number & 255}:1000'
         http = addr.rpartition(':')[0] + ':80'
@@ -74,14 +74,14 @@
         return node
 
     def of(self, role: str) -> list[simulated_node.Node]:
-        """All processes of a role, also those that are down."""
+        """Return all processes of a role, including those that are down."""
         return [node for node in self.nodes.values() if node.role == role]
 
     def leaders(self) -> list[simulated_node.Node]:
-        """All processes that believe that they lead."""
+        """Return all processes that consider themselves leader."""
         return [node for node in self.of('core') if node.up and node.machine.mode == 'leader']
 
     def leader(self) -> simulated_node.Node | None:
-        """The leader that a quorum still follows, if there is one."""
+        """Return the leader that a majority follows, as it has committed in its own term; None if there is none."""
         confirmed = [node for node in self.leaders() if node.machine.replica.committed[0] == node.machine.term]
         return max(confirmed, key=lambda node: node.machine.term, default=None)
