--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -265,7 +265,7 @@
 
 @behave.then('"{group}" without its first fault is "{second}", and without its second "{first}"')
 def group_without_one_fault(context, group, second, first):
-    split_group = search.split_group(group)
-    assert search.join_group(split_group) == group
-    assert search.join_group(split_group[1:]) == second
-    assert search.join_group(split_group[:1] + split_group[2:]) == first
+    pairs = search.split_group(group)
+    assert search.join_group(pairs) == group
+    assert search.join_group(pairs[1:]) == second
+    assert search.join_group(pairs[:1] + pairs[2:]) == first
--- a/zinctrail/simulation/catch_up.py
+++ b/zinctrail/simulation/catch_up.py
@@ -1,9 +1,10 @@
-"""A voter that catches up over a slow link while changes go on: how long, how many bytes, what waits for it.
+"""Measures how a voter catches up over a slow link while changes continue: its time, bytes and heartbeat gaps.
 
   python -m zinctrail.simulation.catch_up [--routes N --tenants N --endpoints N] [--mbit M] [--missed N] [--unpacked]
 
-Hollow rows as in simulation.scale, the agreement as it is, virtual time. Times of
-the loop and memory are real ones, of this process for all its nodes.
+The state consists of synthetic rows as in simulation.scale, the consensus code is
+the real one, and time is virtual. Processing times and memory are real, and
+those of this process, which runs all nodes.
 """
 
 import argparse
@@ -30,59 +31,60 @@
 VOTERS = 3
 SERVICES = 1900
 ELECTION_LIMIT = ms(30000)
-# How long a voter is down, beside the changes that it misses.
+# How long a voter is down, in addition to the time of the changes that it misses.
 DOWN_TIME = ms(3000)
-# The pause between changes that the voters commit while one is down, and while it catches up.
+# The pause between changes while a voter is down, and while it catches up.
 MISSED_CHANGE_PAUSE = ms(12)
 CHANGE_PAUSE = ms(200)
-# How many versions a node that has caught up may lack: the newest changes are on their way.
+# How many versions a node may lack and count as caught up: the newest changes are still being sent.
 MAX_VERSIONS_IN_FLIGHT = 2
-# A process that starts gets no heartbeat at first; this much is left out of a catch-up longer than twice that.
+# A process gets no heartbeat right after its start; in a catch-up longer than twice this time, gaps are measured only
+# after this time.
 FIRST_HEARTBEAT_TIME = ms(1000)
 BITS_PER_BYTE = 8
-# How many kinds of inputs are listed with their longest times.
+# The number of input kinds that the report lists, those with the longest processing times.
 MAX_LISTED_KINDS = 4
 
 
 class OlderVoter(voter.Voter):
-    """A voter of a release that reads no chunks."""
+    """A voter of an older release that cannot receive the state in chunks."""
 
     def frame(self, message):
-        """A frame that does not say that chunks are read."""
+        """Return a frame that does not announce support for chunks."""
         frame = super().frame(message)
         frame.pop('pieces', None)
         return frame
 
     def on_chunk(self, message):
-        """Fail: its peers were told that it reads none."""
-        raise AssertionError('a release that reads no pieces was sent one')
+        """Fail, because its frames did not announce support for chunks."""
+        raise AssertionError('a voter of an older release, without support for chunks, was sent one')
 
 
 class Follower(member.Member):
-    """A member that only follows, as directories and proxies do."""
+    """A member without a vote, as directories and proxies are."""
 
     role = 'prox'
 
 
 class Node(simulated_node.Node):
-    """A process of the agreement alone, over rows that it shares with the others."""
+    """A process that runs consensus only, with rows that all nodes share in memory."""
 
     machine_class: type[member.Member] = voter.Voter
-    # The state that it holds at its first start beside the files of its disk.
+    # The state that it holds at its first start, in addition to the files of its disk.
     initial_state: scale_state.Tables | None = None
 
     def start(self) -> None:
-        """Start the process from its disk; on its first start it also holds `initial_state`."""
+        """Start the process from its disk; at its first start it also holds `initial_state`."""
         rng = random.Random(f'{self.world.seed}/{self.name}/{self.incarnation}')
         self.incarnation += 1
         self.up, self.paused, self.queued_inputs, self.wake_at, self.exited = True, None, [], None, False
-        # The longest real time that an input took, in seconds, by its kind.
+        # The longest real processing time of an input, in seconds, by its kind.
         self.longest_s: dict[str, float] = {}
         self.machine = self.new_machine(rng)
         self.feed('start')
 
     def new_machine(self, rng: random.Random) -> member.Member:
-        """The state machine of `machine_class`."""
+        """Create the state machine of `machine_class`."""
         if not issubclass(self.machine_class, voter.Voter):
             return self.machine_class(self.location, self.world.settings, rng)
         machine = self.machine_class(self.location, self.world.settings, rng, dict(self.disk.files))
@@ -92,7 +94,7 @@
         return machine
 
     def feed(self, kind: str, *args) -> None:
-        """Feed an input, and note how long that took."""
+        """Feed an input, and record its processing time."""
         began = time.perf_counter()
         super().feed(kind, *args)
         name = args[0].get('t') if kind == 'recv' else kind
@@ -100,14 +102,14 @@
 
 
 def load_state(machine: voter.Voter, tables: scale_state.Tables) -> None:
-    """Let a voter that is about to start hold a state. The rows are shared, the tables are its own."""
+    """Load a state into a voter before its start. It shares the rows with other voters, but not the tables."""
     machine.replica.accept(scale_state.VERSION, tables={table: dict(rows) for table, rows in tables.items()})
     machine.cluster = scale_state.CLUSTER
     machine.history.restart(scale_state.VERSION, tuple(tables['meta']['routes']))
 
 
 class CatchUp:
-    """Three voters that hold a state; others may be added."""
+    """Three voters that hold a state; other processes may be added."""
 
     def __init__(self, size: sizes.Size, seed: int = 1, custom_settings: settings.Settings | None = None):
         size.cores, size.dirs, size.nodes = VOTERS, 0, 0
@@ -115,16 +117,16 @@
         self.world = simulated_world.World(seed, custom_settings or settings.Settings())
         self.world.on_deliver = self.record_frame
         self.state = scale_state.state_tables(size)
-        # When each process got its heartbeats.
+        # The times at which each process received heartbeats.
         self.heartbeats: dict[str, list[datetime.timedelta]] = {}
         self.largest_frame = 0
         self.changes = 0
-        # The pause between changes while they go on.
+        # The pause between periodic changes; None while there are none.
         self.change_pause: datetime.timedelta | None = None
         self.nodes = [self.add_voter(number) for number in range(VOTERS)]
 
     def add_voter(self, number: int) -> Node:
-        """Add one of the voters that hold the state."""
+        """Add one of the voters that hold the state, without starting it."""
         return self.add(f'voter-{number}', scale_state.process_address(number), f'{number:016x}', self.state)
 
     def add(
@@ -135,9 +137,9 @@
         initial_state: scale_state.Tables | None = None,
         machine_class: type[member.Member] = voter.Voter,
     ) -> Node:
-        """Add a process, down.
+        """Add a process, without starting it.
 
-        :param identity: the node's id on its disk; a process without one comes as somebody new.
+        :param identity: the node id on its disk; a process without one joins as a new node.
         """
         world = self.world
         seeds = [scale_state.process_address(number) for number in range(VOTERS)]
@@ -154,34 +156,34 @@
         return node
 
     def record_frame(self, source: simulated_node.Node, target: simulated_node.Node, text: str) -> None:
-        """Note a frame that arrived."""
+        """Record the size of a frame that arrived, and its time if it is a heartbeat."""
         self.largest_frame = max(self.largest_frame, len(text))
         if '"t": "chk"' in text[-200:]:
             self.heartbeats.setdefault(target.name, []).append(self.world.now)
 
     def start(self) -> bool:
-        """Start the voters; returns whether one came to lead."""
+        """Start the voters; returns whether one became the leader."""
         for node in self.nodes:
             node.start()
         return self.world.run(ELECTION_LIMIT, until=self.has_leader)
 
     def has_leader(self) -> bool:
-        """Whether a voter leads."""
+        """Return whether there is a leader."""
         return self.leader() is not None
 
     def leader(self) -> Node | None:
-        """The voter that leads."""
+        """Return the voter that is the leader, or None."""
         return self.world.leader()
 
     def last_follower(self) -> Node:
-        """The last voter that does not lead."""
+        """Return the last voter that is not the leader."""
         last = self.nodes[-1]
         return last if self.leader() is not last else self.nodes[0]
 
-    # -- down and back -----------------------------------------------------
+    # -- shutdown, disk loss and slow links --------------------------------
 
     def power_down(self, node: Node) -> float:
-        """End a voter whose disk holds all that it has; returns what the snapshot took, in real seconds."""
+        """Write a snapshot of a voter's state and end it; returns the real time of the snapshot, in seconds."""
         began = time.perf_counter()
         node.machine.persistence.write_snapshot()
         for effect in take_effects(node):
@@ -190,12 +192,12 @@
         return time.perf_counter() - began
 
     def wipe(self, node: Node) -> None:
-        """End a voter and empty its disk: it comes back as somebody new."""
+        """End a voter and empty its disk, so that it returns as a new node."""
         node.kill()
         node.disk.files, node.disk.synced = {}, {}
 
     def slow_link(self, name: str, mbit: float) -> None:
-        """Bound what everybody sends to one process, and what it sends, in Mbit/s."""
+        """Limit the links from and to one process to a bandwidth in Mbit/s."""
         bytes_per_second = mbit * 1e6 / BITS_PER_BYTE
         for other in self.world.nodes:
             if other != name:
@@ -204,7 +206,7 @@
     # -- changes -----------------------------------------------------------
 
     def commit_change(self) -> None:
-        """Have the leader commit a rule anew, if there is one."""
+        """Have the leader commit a new version of a rule; does nothing without a leader."""
         leader = self.leader()
         if leader is None:
             return
@@ -225,30 +227,30 @@
         leader.set_wake_up()
 
     def change_every(self, pause: datetime.timedelta) -> None:
-        """Go on changing rules until `stop_changing`."""
+        """Commit a change after each `pause` until `stop_changing`."""
         self.change_pause = pause
         self.commit_periodically()
 
     def commit_periodically(self) -> None:
-        """Change a rule now, and again after each pause."""
+        """Commit a change now, and schedule the next one unless changes were stopped."""
         if self.change_pause is not None:
             self.commit_change()
             self.world.after(self.change_pause, self.commit_periodically)
 
     def stop_changing(self) -> None:
-        """Change no more rules."""
+        """Stop committing changes."""
         self.change_pause = None
 
     def commit_changes(self, count: int) -> None:
-        """So many changes, a version each."""
+        """Commit a number of changes, each as a separate version."""
         for _ in range(count):
             self.commit_change()
             self.world.run(MISSED_CHANGE_PAUSE)
 
-    # -- what came of it ---------------------------------------------------
+    # -- observations ------------------------------------------------------
 
     def has_caught_up(self, node: Node) -> bool:
-        """Whether a process has all that was committed when the newest changes are on their way."""
+        """Return whether a process lacks at most MAX_VERSIONS_IN_FLIGHT of the committed versions."""
         leader = self.leader()
         if leader is None or not node.up:
             return False
@@ -260,44 +262,44 @@
         return term == latest[0] and latest[1] - number <= MAX_VERSIONS_IN_FLIGHT
 
     def longest_gap_ms(self, name: str, since: datetime.timedelta) -> int:
-        """The longest time that a process got no heartbeat."""
+        """Return the longest time without a heartbeat of a process since a given time."""
         times = [since, *(at for at in self.heartbeats.get(name, []) if at > since), self.world.now]
         return max(durations.to_ms(later - earlier) for earlier, later in zip(times, times[1:], strict=False))
 
     def has_leaders_state(self, node: Node) -> bool:
-        """Whether a process holds exactly the rows of the leader."""
+        """Return whether a process holds exactly the rows of the leader."""
         return canonical_text(node.machine.replica.full_state()) == canonical_text(
             self.leader().machine.replica.full_state()
         )
 
     def count_removals(self, node: Node, since: datetime.timedelta) -> int:
-        """How often a log says that a process is no member any more."""
+        """Return how often a log line reports that a process was removed as a member."""
         lost = f'Member {node.machine.node}'
         return sum(lost in text and 'removed:' in text for at, text in self.world.lines if at > since)
 
     def counts(self) -> dict[str, int]:
-        """What the leader has counted."""
+        """Return the counters of the leader."""
         return self.leader().machine.counts
 
 
 def take_effects(node: Node) -> list:
-    """The effects that a machine has put out, which are its host's from now on."""
+    """Remove and return the effects that a state machine has put out."""
     taken, node.machine.out = node.machine.out, []
     return taken
 
 
 def canonical_text(tables: scale_state.Tables) -> str:
-    """The rows as text that is the same for the same rows."""
+    """Return the rows as text that is equal for equal rows."""
     return json.dumps({table: rows for table, rows in tables.items() if rows}, sort_keys=True)
 
 
 def peak_memory_mb() -> float:
-    """The most memory that this process ever had, in MB."""
+    """Return the peak memory of this process, in MB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
 class Baseline(typing.NamedTuple):
-    """What had been counted when a voter came back."""
+    """The counters at the restart of a voter."""
 
     at: datetime.timedelta
     real_s: float
@@ -307,15 +309,15 @@
 
 
 def measure(size: sizes.Size, mbit: float, missed: int, limit_s: int, may_compress: bool = True) -> dict:
-    """What it took one voter to catch up.
+    """Measure how one voter catches up.
 
-    :param mbit: the rate of its link, in Mbit/s.
-    :param missed: how many changes it missed; where that is 0, it comes back with nothing.
-    :param packs: whether bytes on the link are counted after compression.
+    :param mbit: the bandwidth of its links, in Mbit/s.
+    :param missed: the number of changes that it missed; if 0, it returns with an empty disk instead.
+    :param may_compress: whether bytes on the link are counted after compression.
     """
     rig = CatchUp(size)
     rig.world.compresses = may_compress
-    assert rig.start(), 'nobody leads'
+    assert rig.start(), 'no voter became the leader'
     node = rig.last_follower()
     snapshot_s = 0.0
     if missed:
@@ -331,7 +333,7 @@
 
 
 def begin_catch_up(rig: CatchUp, node: Node) -> Baseline:
-    """Start a voter again, while changes go on."""
+    """Restart a voter while changes continue; returns the counters before."""
     bytes_by_kind, counts, rss_mb = dict(rig.world.bytes), dict(rig.counts()), peak_memory_mb()
     for other in rig.nodes:
         other.longest_s = {}
@@ -342,7 +344,7 @@
 
 
 def report(rig: CatchUp, node: Node, baseline: Baseline, snapshot_s: float) -> dict:
-    """The figures of a catch-up that is over."""
+    """Return the figures of a finished catch-up."""
     world = rig.world
     took = world.now - baseline.at
     gap_from = baseline.at + FIRST_HEARTBEAT_TIME if took > 2 * FIRST_HEARTBEAT_TIME else baseline.at
@@ -367,13 +369,13 @@
 
 
 def longest_inputs_ms(node: Node) -> dict[str, int]:
-    """The kinds of inputs that took a process longest, with these times."""
+    """Return the kinds of inputs with the longest processing times at a process, with these times."""
     by_time = sorted(node.longest_s.items(), key=lambda item: -item[1])
     return {name: round(1000 * seconds) for name, seconds in by_time[:MAX_LISTED_KINDS]}
 
 
 def main() -> None:
-    """The command."""
+    """Run the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--routes', type=int, default=5000)
     parser.add_argument('--tenants', type=int, default=0)
--- a/zinctrail/simulation/fingerprints.py
+++ b/zinctrail/simulation/fingerprints.py
@@ -1,12 +1,12 @@
-"""Fingerprints of simulated days: whether a change of the code changed what the system does.
+"""Fingerprints of simulated scenarios, which show whether a change of the code changed the system's behaviour.
 
     python -m zinctrail.simulation.fingerprints [--write] [--jobs=N] [--every=N]
 
-Compares with docs/fingerprints.json, or writes it; --every=N plays only every
-Nth day.
+Compares with docs/fingerprints.json, or writes it; --every=N runs only every
+Nth scenario.
 
-A fingerprint is a digest over every frame, disk write, HTTP answer and HTTP
-call that any process made, with its virtual time. Log lines are left out.
+A fingerprint is a digest over every frame, disk write, HTTP response and HTTP
+call of all processes, with its virtual time. Log lines are not part of it.
 """
 
 import hashlib
@@ -24,13 +24,13 @@
 import zinctrail.simulation.search as search
 
 FILE = 'docs/fingerprints.json'
-# (kind of days, seeds, virtual seconds)
+# (scenario module, seeds, virtual seconds)
 PLAN = (('days', range(9000, 9040), 20), ('open_days', range(9100, 9120), 20))
 KINDS = {'days': days, 'open_days': open_days}
 
 
 def serialize(effect) -> str | None:
-    """What one effect carries, as text; None where it leaves nothing outside the process."""
+    """Return an effect as text, or None if it is not part of the fingerprint."""
     if isinstance(effect, effects.Send):
         return json.dumps(['send', effect.address, effect.frame, effect.may_compress])
     if isinstance(effect, effects.Write):
@@ -55,7 +55,7 @@
 
 
 def recorder(digest) -> typing.Callable:
-    """An observer of a node's effects that feeds them to a digest."""
+    """Return an observer of effects that adds them to a digest."""
 
     def observe(node, effect):
         text = serialize(effect)
@@ -66,7 +66,7 @@
 
 
 def fingerprint(job: tuple[str, int, int]) -> tuple[str, str]:
-    """The name of a day, and its digest with its counts of frames and verdicts."""
+    """Run a scenario; returns its name, and its digest with the counts of frames and verdicts."""
     kind, seed, seconds = job
     module = KINDS[kind]
     digest = hashlib.sha256()
@@ -77,7 +77,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Compare with the file, or write it; returns the exit status."""
+    """Run the command: compare the fingerprints with the file, or write it; returns the exit status."""
     if os.environ.get('PYTHONHASHSEED') != '0':
         os.environ['PYTHONHASHSEED'] = '0'
         os.execv(sys.executable, [sys.executable, '-m', 'zinctrail.simulation.fingerprints', *argv])
@@ -95,8 +95,8 @@
         wanted = json.load(file)
     differ = [name for name in found if found[name] != wanted.get(name)]
     for name in differ:
-        print(f'{name}: {wanted.get(name)} became {found[name]}')
-    print(f'{len(found) - len(differ)} of {len(found)} days are as they were')
+        print(f'{name}: expected {wanted.get(name)}, got {found[name]}')
+    print(f'{len(found) - len(differ)} of {len(found)} scenarios are unchanged')
     return 1 if differ else 0
 
 
--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -1,11 +1,12 @@
-"""First starts under many seeds: each process has its own seeds, of any role, never itself, some stale.
+"""First starts of the whole system under many random seeds.
 
-`cut_short` has all processes lose power, once or twice, while the cluster forms, and some control nodes lose their disks.
+Each process has its own list of seed nodes, of any role, never itself, some of them stale. In the mode `cut_short`, all
+processes lose power once or twice while the cluster forms, and some control nodes lose their disks.
 
   python -m zinctrail.simulation.first_starts --search=200 [--seed=1] [--shape=accra] [--stale=0.2] [--how=split]
       [--at-once=8]
 
-Counts double clusters, which must never be, and starts that hang.
+Counts first starts that formed more than one cluster, which must never happen, and those that did not complete.
 """
 
 import collections
@@ -20,21 +21,22 @@
 
 ms = durations.ms
 
-# How the processes start: all at once, over half a minute, under loss, cut into two groups, or cut short.
+# How the processes start: all at once, over half a minute, with lost frames, partitioned into two groups (split*), or
+# interrupted by power losses.
 MODES = ('together', 'late', 'lossy', 'split', 'split_uneven', 'split_roles', 'cut_short')
-# The most disks that are lost by a first start that is cut short, and when it is cut short, the second time too.
+# The most disks that are lost in an interrupted first start, and the time from the start or restart to the power loss.
 MAX_DISKS_LOST = 2
 INTERRUPT_FROM_MS, INTERRUPT_BY_MS = 600, 4000
-# How much later than the others a process may come back, and how many processes are so late, as a share.
+# The most that a process may restart later than the others, and the fraction of processes that do.
 LATE_RESTART_MS, LATE_RESTART_SHARE = 20000, 0.3
 SEEDS_PER_PROCESS = 3
 
 
 class FirstStart:
-    """One first start of a shape.
+    """One first start of a deployment.
 
-    :param stale: how many of all seeds nobody answers, as a share.
-    :param how: one of MODES.
+    :param stale: the fraction of seeds at whose address there is no process.
+    :param mode: one of MODES.
     """
 
     def __init__(self, seed: int, shape: deployments.Shape, stale: float, mode: str):
@@ -47,11 +49,11 @@
                 self.world.add(f'{role}{number}', role, cells[number % len(cells)])
         for node in self.world.nodes.values():
             node.location.seeds = self.seeds_of(node.name, stale)
-        # The clusters that could act at any time.
+        # The clusters that have had a leader that committed in its term.
         self.clusters: set[str] = set()
 
     def seeds_of(self, name: str, stale: float) -> list[str]:
-        """Random seeds of a process, some of which nobody answers."""
+        """Draw the seeds of a process, some of them stale."""
         others = sorted(set(self.world.nodes) - {name})
         return [
             f'10.99.0.{self.rng.randrange(1, 200)}:1000'
@@ -61,7 +63,7 @@
         ]
 
     def run(self) -> typing.Self:
-        """Play the start; returns itself."""
+        """Run the first start; returns itself."""
         world = self.world
         latest_ms = 30000 if self.mode == 'late' else 500
         for node in world.nodes.values():
@@ -79,7 +81,7 @@
         return self
 
     def split(self) -> None:
-        """Cut the processes into two groups: halves, a few against the rest, or control nodes apart."""
+        """Partition the processes into two groups: halves, a few and the rest, or a random half of each role."""
         names = sorted(self.world.nodes)
         if self.mode == 'split_roles':
             side = {name for name in names if name.startswith('core') and self.rng.random() < 0.5}
@@ -90,7 +92,7 @@
         self.world.partition(side)
 
     def interrupt(self) -> None:
-        """End the start once or twice while the cluster forms; as many disks are lost in all as a majority bears."""
+        """Interrupt the start once or twice while the cluster forms; a majority of the disks is never lost."""
         control_nodes = self.world.of('core')
         lost = self.rng.sample(control_nodes, min(MAX_DISKS_LOST, (len(control_nodes) - 1) // 2))
         for is_last in (False, True) if self.rng.random() < 0.5 else (True,):
@@ -106,7 +108,7 @@
                 self.world.after(ms(self.rng.uniform(0, 500 + late_ms)), node.start)
 
     def record_clusters(self) -> bool:
-        """Note which clusters can act; always false, so that a run goes on."""
+        """Record the clusters that can commit; always returns False, so that a run does not stop."""
         self.clusters |= {
             node.machine.cluster
             for node in self.world.leaders()
@@ -115,12 +117,12 @@
         return False
 
     def is_settled(self) -> bool:
-        """Whether a controller leads and every process knows its leader."""
+        """Return whether there is a leader and every process knows a leader."""
         self.record_clusters()
         return self.world.leader() is not None and all(node.machine.leader for node in self.world.nodes.values())
 
     def verdict(self) -> str:
-        """What is wrong, or nothing."""
+        """Return the violation that was found, or an empty string."""
         if len(self.clusters) > 1:
             return f'{len(self.clusters)} clusters'
         if not self.clusters:
@@ -129,7 +131,7 @@
 
 
 class Job(typing.NamedTuple):
-    """One first start to play."""
+    """A first start to run."""
 
     seed: int
     shape: str
@@ -138,12 +140,12 @@
 
 
 def run_job(job: Job) -> tuple[Job, str]:
-    """A job with its verdict."""
+    """Run a first start; returns the job and its verdict."""
     return job, FirstStart(job.seed, deployments.PRESETS[job.shape], job.stale, job.mode).run().verdict()
 
 
 def main(argv: list[str]) -> int:
-    """The command; exit status 1 if there ever were two clusters."""
+    """Run the command; returns the exit status: 1 if any start formed two clusters, 2 for a usage error."""
     options = dict(argument.lstrip('-').partition('=')[::2] for argument in argv)
     if 'search' not in options:
         print(__doc__.strip())
@@ -155,7 +157,7 @@
         for mode in modes
         for seed in range(first, first + count)
     ]
-    # Verdicts, by how the processes started.
+    # The counts of verdicts by mode.
     counts: dict[str, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     with multiprocessing.Pool(int(options.get('at-once', 8))) as pool:
         for job, verdict in pool.imap_unordered(run_job, jobs):
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -244,7 +244,7 @@
     ) -> None:
         """Deliver an HTTP call, if its server is still the incarnation that it was sent to; otherwise it fails."""
         if server.incarnation != incarnation or not server.up:
-            # A process that refuses connections, or that exited after doing so, closes connections without reading them.
+            # A process that refuses connections, or that exited after doing so, closes those it has not read from.
             is_unread = getattr(server, 'refuses_connections', False)
             fault = 'closed unread' if is_unread else 'connection lost'
             reply(effects.HttpResult(sent=not is_unread, fault=fault))
