--- a/zinctrail/simulation/checkers/open_contact.py
+++ b/zinctrail/simulation/checkers/open_contact.py
@@ -41,9 +41,9 @@
         """Record starts, ends, pauses and resets of processes."""
         down_since = {}
         for event in events:
-            if event.what in ('kill', 'exit'):
+            if event.kind in ('kill', 'exit'):
                 down_since[event.name] = event.at
-            since = down_since.pop(event.name, event.at) if event.what == 'start' else event.at
+            since = down_since.pop(event.name, event.at) if event.kind == 'start' else event.at
             self._add(event.name, Span(since, event.until))
         for name, ended_at in down_since.items():
             # Only the moment of its end counts for the control nodes: a remaining majority settles again without it.
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -117,7 +117,7 @@
     """Return the times of events of some kinds, by the name of the process."""
     times = collections.defaultdict(list)
     for event in events:
-        if event.what in kinds:
+        if event.kind in kinds:
             times[event.name].append(event.at)
     return times
 
@@ -297,7 +297,7 @@
     """Return the unplanned disturbances and the evacuations of each region."""
     disturbances: dict[str, list[open_notes.Span]] = collections.defaultdict(list)
     for event in deployment.world.process_events:
-        if event.what in ('kill', 'pause', 'reset'):
+        if event.kind in ('kill', 'pause', 'reset'):
             disturbances[deployment.region_of(event.name)].append(open_notes.Span(event.at, event.until))
     for cut in deployment.notes.cuts:
         for name in (cut.one, cut.other):
