--- a/features/steps/voter_leaving_steps.py
+++ b/features/steps/voter_leaving_steps.py
@@ -137,7 +137,7 @@
         command_session = session.Session(session.Options(addresses=['127.0.0.1:1']))
         output = io.StringIO()
         with (
-            mock.patch.object(command_session, 'call', lambda *args, document=document: session.Answer(200, document)),
+            mock.patch.object(command_session, 'call', lambda *args, document=document: session.Response(200, document)),
             contextlib.redirect_stdout(output),
         ):
             status_command.status(command_session, [])
