--- a/features/data_format.feature
+++ b/features/data_format.feature
@@ -1,5 +1,5 @@
 Feature: A data folder as it was written is read, and written the same again
-  features/data/format2 is the folder of a control node that led and carried out
+  features/data/format2 is the data folder of a control node that led and applied
   an operation of most kinds; features/support/folder_sample.py wrote it.
 
   Scenario: A recorded folder holds what it held, and its files are the same when they are written again
--- a/features/frames.feature
+++ b/features/frames.feature
@@ -1,6 +1,6 @@
 Feature: Frames as they were written are read, and written the same again
   features/data/frames.json holds a frame of each form that simulated fleets sent
-  at the time; features/support/frame_samples.py tells of which days.
+  when it was recorded; features/support/frame_samples.py lists the scenarios.
 
   Scenario: Each recorded frame is decoded, and encoded to the same bytes
     Given the recorded frames
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,5 +1,5 @@
 Feature: What each deployment must survive, at its size: a disk machine, a zone, a region, for good
-  At a reduced rate, in virtual time.
+  At a reduced request rate, in virtual time.
 
   Scenario Outline: <shape>: <fault>
     Given <shape> at <rate> a second, a day of <fault>, seed <seed>
--- a/features/never_core.feature
+++ b/features/never_core.feature
@@ -1,7 +1,7 @@
 Feature: What must never happen, does not: kept state and coordination
-  Every checker reads only what callers, endpoints, operators and applications
-  saw. Each row runs a day of faults: with the system whole the checker finds
-  nothing; with the named guard switched off, the same day makes it speak.
+  Every checker reads only the records of callers, endpoints, operators and
+  applications. Each row runs a scenario of injected faults twice: with all guards
+  on the checker finds nothing; with the named guard off it finds a violation.
 
   Scenario Outline: <checker>: held by <guard>
     Given days of <faults> under seeds <seeds>
--- a/features/second_loss.feature
+++ b/features/second_loss.feature
@@ -1,58 +1,60 @@
 Feature: A second voter is lost right after a first one left or came back empty
-  Small deployments in the simulator; power is lost for good and without a
-  word. See docs/notes/worst-days/second-loss.md.
+  Guards against a cluster that cannot commit any more because a second voter
+  fails before the first one was replaced. Small deployments in the simulator;
+  power is lost for good, and connections are not reset by it. See
+  docs/notes/worst-days/second-loss.md.
 
   Scenario Outline: <event>, then <second> loses power after <delay> ms
     When <event>, and <second> loses power <delay> ms later, under seeds 1 to 3
-    Then a master has put something into force within 5 s of the second loss, under each
-    Examples: the leaver's place is taken before it ends
-      | event           | second     | delay |
-      | a voter ends    | the master | 50    |
-      | a voter ends    | the master | 500   |
-      | a voter ends    | the master | 1000  |
-      | a voter ends    | the master | 1900  |
-      | a voter ends    | the master | 3000  |
-      | a voter ends    | a follower | 50    |
-      | a voter ends    | a follower | 500   |
-      | a voter ends    | a follower | 1000  |
-      | a voter ends    | a follower | 1900  |
-      | a voter ends    | a follower | 3000  |
-      | the master ends | the master | 500   |
-      | the master ends | the master | 1000  |
-      | the master ends | the master | 1900  |
-      | the master ends | the master | 3000  |
-      | the master ends | a follower | 500   |
-      | the master ends | a follower | 1000  |
-      | the master ends | a follower | 1900  |
-      | the master ends | a follower | 3000  |
-    Examples: the wiped one is back after 800 ms and has 300 ms to catch up
+    Then a leader has committed a version within 5 s of the second loss, under each seed
+    Examples: the leaving voter is replaced before it exits
+      | event            | second     | delay |
+      | a voter stops    | the leader | 50    |
+      | a voter stops    | the leader | 500   |
+      | a voter stops    | the leader | 1000  |
+      | a voter stops    | the leader | 1900  |
+      | a voter stops    | the leader | 3000  |
+      | a voter stops    | a follower | 50    |
+      | a voter stops    | a follower | 500   |
+      | a voter stops    | a follower | 1000  |
+      | a voter stops    | a follower | 1900  |
+      | a voter stops    | a follower | 3000  |
+      | the leader stops | the leader | 500   |
+      | the leader stops | the leader | 1000  |
+      | the leader stops | the leader | 1900  |
+      | the leader stops | the leader | 3000  |
+      | the leader stops | a follower | 500   |
+      | the leader stops | a follower | 1000  |
+      | the leader stops | a follower | 1900  |
+      | the leader stops | a follower | 3000  |
+    Examples: the wiped voter returns after 800 ms and has 300 ms to catch up
       | event               | second     | delay |
-      | a voter is wiped    | the master | 1100  |
-      | a voter is wiped    | the master | 1900  |
-      | a voter is wiped    | the master | 3000  |
+      | a voter is wiped    | the leader | 1100  |
+      | a voter is wiped    | the leader | 1900  |
+      | a voter is wiped    | the leader | 3000  |
       | a voter is wiped    | a follower | 1100  |
       | a voter is wiped    | a follower | 1900  |
       | a voter is wiped    | a follower | 3000  |
-      | the master is wiped | the master | 1100  |
-      | the master is wiped | the master | 1900  |
-      | the master is wiped | the master | 3000  |
-      | the master is wiped | a follower | 1100  |
-      | the master is wiped | a follower | 1900  |
-      | the master is wiped | a follower | 3000  |
+      | the leader is wiped | the leader | 1100  |
+      | the leader is wiped | the leader | 1900  |
+      | the leader is wiped | the leader | 3000  |
+      | the leader is wiped | a follower | 1100  |
+      | the leader is wiped | a follower | 1900  |
+      | the leader is wiped | a follower | 3000  |
 
   Scenario Outline: One more loss is borne within 300 ms: <event>
-    When <event>, under seeds 1 to 10, until one more loss is borne
-    Then that took 300 ms at most, under each
+    When <event>, under seeds 1 to 10, until one more loss is tolerated
+    Then that took 300 ms at most, under each seed
     Examples:
       | event               |
-      | a voter ends        |
-      | the master ends     |
+      | a voter stops       |
+      | the leader stops    |
       | a voter is wiped    |
-      | the master is wiped |
+      | the leader is wiped |
 
   Scenario Outline: A rolling restart changes the set only where a spare takes the place
     When <cores> control nodes, <voters> of them voters, are restarted in turn under seeds 1 to 3
-    Then the voting set took <most> steps at most for each restart
+    Then the voting set took at most <most> steps for each restart
     Examples:
       | cores | voters | most |
       | 3     | 3      | 0    |
@@ -63,29 +65,29 @@
   Scenario: A leaver ends only once a set without it is committed
     Given three voters and a spare under seeds 1 to 3
     When a voter is told to stop
-    Then it has ended within a second, and a set without it was committed before
-    And the master tells that it bears 1 more losses, and that it waits for nothing
+    Then it has exited within a second, and a voting set without it was committed before
+    And the leader reports that it tolerates 1 more losses, and that the voting set waits for nothing
 
   Scenario: A leaver that nobody can replace ends soon, and stays a voter
     Given three voters and no spare under seeds 1 to 3
     When a voter is told to stop
-    Then it has ended within a second, and it votes still
-    And the master tells that it bears 0 more losses, and that it waits for a control node in the place of
+    Then it has exited within a second, and is still a voter
+    And the leader reports that it tolerates 0 more losses, and that the voting set waits for a control node in the place of
 
   Scenario: Two of five wiped at once
     Given five voters under seeds 1 to 3
-    When two that do not lead are wiped at once and are back after 800 ms, empty
-    Then two more that were never wiped may lose power one after the other, 3 s apart
+    When two followers are wiped at once and return empty after 800 ms
+    Then the cluster survives the power loss of two more that were never wiped, 3 s apart
 
   Scenario: A replacement with the seeds swapped
     Given three voters and a spare under seeds 1 to 3
-    When the seeds of all are swapped while a voter ends for good and one more control node starts
-    Then a second and, 3 s later, a third voter may lose power
+    When the seeds of all are replaced while a voter stops for good and a new control node starts
+    Then the cluster survives the power loss of a second voter and, 3 s later, of a third
 
   Scenario Outline: The spare is lost <delay> ms after the leave that it is taken in for
     Given three voters and a spare under seeds 1 to 3
-    When a voter ends for good and the spare loses power <delay> ms later
-    Then a master goes on, three vote, and a new control node takes a place that is free
+    When a voter stops for good and the spare loses power <delay> ms later
+    Then a leader remains, three vote, and a new control node becomes a voter
     Examples:
       | delay |
       | 0     |
@@ -99,19 +101,19 @@
   Scenario Outline: All lose power as the joint change <moment>
     Given three voters and a spare under seeds 1 to 3
     When a voter leaves and all lose power as the joint change <moment>
-    And all but the leaver are back
-    Then one leads with all that was in force, under a settled set of three
+    And all but the leaving voter are back
+    Then one leads with all that was committed, under a settled voting set of three
     Examples:
-      | moment                |
-      | is accepted by one    |
-      | is accepted by all    |
-      | is in force at one    |
-      | is being completed    |
+      | moment              |
+      | is accepted by one  |
+      | is accepted by all  |
+      | is committed at one |
+      | is being completed  |
 
   Scenario Outline: A wiped node has no vote before it is admitted: master lost after <delay> ms
     Given five voters under seeds 1 to 3
-    When one is wiped, and the master loses power <delay> ms after it is back
-    Then it votes neither as who it was nor with an empty disk, and no master counts a vote from outside its set
+    When one is wiped, and the leader loses power <delay> ms after it is back
+    Then it votes neither under its old identity nor with an empty disk, and no leader counts a vote from outside its voting set
     Examples:
       | delay |
       | 0     |
@@ -123,20 +125,20 @@
 
   Scenario: A leave of an older release, that waits for nothing, drops the member at once
     Given three voters and no spare under seeds 1 to 3
-    When the master gets a leave without a wait from a voter
-    Then it drops that member, answers nothing, and keeps it as a voter
+    When the leader receives a leave without a wait from a voter
+    Then it removes that member, sends no response, and keeps it as a voter
 
   Scenario: A leaver that its master never answers ends within half of its grace
     Given three voters and no spare under seeds 1 to 3
-    When a voter is told to stop and every answer to it is lost
-    Then it has ended within half of its grace
+    When a voter is told to stop and every response to it is lost
+    Then it has exited within half of its grace period
 
   Scenario: Commands and pages tell what more can be lost
     Given three voters and a spare under seeds 1 to 3
     When the spare has left and a voter loses power
-    Then the master tells that it bears 0 more losses, and that it waits for to come back
+    Then the leader reports that it tolerates 0 more losses, and that the voting set waits for to come back
     And zinctrailctl status prints "bears the loss of 0 more voters"
 
   Scenario: Leaves, wipes, power losses and freezes at random, while the configuration changes
     When control nodes leave, are wiped, lose power and freeze at random for 60 s, under seeds 1 to 5
-    Then nothing in force was lost or doubled, no set was below three, and each is whole again
+    Then nothing committed was lost or duplicated, no voting set was below three, and each is complete again
--- a/features/steps/agree_replication_steps.py
+++ b/features/steps/agree_replication_steps.py
@@ -14,19 +14,19 @@
 
 @behave.when('b publishes {version} on {base} in term {term:d}')
 def version_published(context, version: str, base: str, term: int):
-    if base == 'all':
+    if base == 'no base':
         contents = {'full': {'meta': {'cluster': machine_host.CLUSTER}}}
     else:
         contents = {'base': voter_host.parse_version(base), 'rows': [NEW_ROW]}
     context.host.recv('b', 'pub', term=term, at=voter_host.parse_version(version), **contents)
 
 
-@behave.then('a answers {answer}')
-def publication_is_answered(context, answer: str):
+@behave.then('a responds {response}')
+def publication_is_answered(context, response: str):
     host = context.host
-    answers = host.sent('pub_re')
-    assert len(answers) == 1 and answers[0]['ok'] == answer.startswith('ok'), host.effects
-    assert host.written_before('pub_re') == answer.endswith('after its write'), host.effects
+    responses = host.sent('pub_re')
+    assert len(responses) == 1 and responses[0]['ok'] == response.startswith('ok'), host.effects
+    assert host.written_before('pub_re') == response.endswith('after its write'), host.effects
 
 
 @behave.when('b commits {version} in term {term:d}')
@@ -34,7 +34,7 @@
     context.host.recv('b', 'com', term=term, at=voter_host.parse_version(version))
 
 
-@behave.then('a has generation {version} in force')
+@behave.then('a has committed version {version}')
 def committed_version_is(context, version: str):
     committed = context.host.machine.replica.committed
     assert committed == voter_host.parse_version(version), committed
@@ -43,13 +43,13 @@
 # -- a leader -------------------------------------------------------------------------
 
 
-@behave.given('its first generation is in force')
+@behave.given('its first version is committed')
 def first_version_is_committed(context):
     host = context.host
     voter_host.accept(host, voter_host.newest_publication(host))
-    # Run on until what follows the first version is over, too.
+    # Run on until the changes that a new leader makes after its first version are committed, too.
     for _ in range(20):
-        host.run(100, lambda: voter_host.answer_heartbeats(host))
+        host.run(100, lambda: voter_host.respond_to_heartbeats(host))
         if voter_host.in_flight(host):
             voter_host.accept(host, voter_host.newest_publication(host))
     assert host.machine.replica.committed[0] == host.machine.term and not voter_host.in_flight(host)
@@ -61,14 +61,14 @@
 
 
 def published_tables(host) -> list[set[str]]:
-    """The tables that each publication changes, apart from the row that tells the newest routing table."""
+    """Return the tables that each publication changes, apart from the row of the newest routing table's version."""
     return [
         {table for table, key, _ in publication.rows if (table, key) != ('meta', 'routes')}
         for publication in voter_host.in_flight(host)
     ]
 
 
-@behave.when('d takes the place of c in the voting set, and a cell is changed right after')
+@behave.when('d replaces c in the voting set, and a zone is changed right after')
 def voting_set_and_zone_change(context):
     host = context.host
     context.version_before = host.machine.replica.committed
@@ -76,16 +76,16 @@
     change_row(host, 'cells', 'r0/c9', {'labels': {'x': 'y'}})
 
 
-@behave.then('only the change of the voting set is published for {duration:d} ms, while b answers heartbeats alone')
+@behave.then('only the change of the voting set is published for {duration:d} ms, while b responds only to heartbeats')
 def only_voting_set_is_published(context, duration: int):
     host = context.host
-    host.run(duration, lambda: voter_host.answer_heartbeats(host, context.version_before))
+    host.run(duration, lambda: voter_host.respond_to_heartbeats(host, context.version_before))
     assert host.machine.mode == 'leader'
     published = published_tables(host)
     assert published == [{'meta'}], published
 
 
-@behave.then('the change of the cell is published within {duration:d} ms of b accepting the voting set')
+@behave.then('the change of the zone is published within {duration:d} ms of b accepting the voting set')
 def zone_is_published(context, duration: int):
     host = context.host
     version = voter_host.newest_publication(host)
@@ -93,11 +93,11 @@
     host.run(duration)
     assert host.machine.replica.committed == version, host.machine.replica.committed
     published = published_tables(host)
-    # The step that ends the joint set may go along with it.
+    # The same publication may contain the change that completes the joint voting set.
     assert len(published) == 1 and 'cells' in published[0], published
 
 
-@behave.when('a read arrives and b answers {which}')
+@behave.when('a read arrives and b responds to {which}')
 def read_arrives(context, which: str):
     host, context.results = context.host, []
     round_before = host.machine.heartbeat_round
@@ -127,7 +127,7 @@
         del context.host.machine.replica.tables['members'][node]
 
 
-@behave.then('b is sent the first generation')
+@behave.then('b is sent the first version')
 def first_version_is_sent(context):
     host = context.host
     context.version = voter_host.newest_publication(host)
@@ -140,7 +140,7 @@
     ]
 
 
-@behave.then("b's word commits it")
+@behave.then("b's acceptance commits it")
 def acceptance_commits(context):
     voter_host.accept(context.host, context.version)
     assert context.host.machine.replica.committed == context.version
--- a/features/steps/agree_steps.py
+++ b/features/steps/agree_steps.py
@@ -8,7 +8,7 @@
 
 
 def parse_nodes(text: str) -> list[str]:
-    """The nodes of a list that is written with commas; it may be empty."""
+    """Return the nodes of a comma-separated list, which may be empty."""
     return [node for node in text.split(',') if node]
 
 
@@ -16,18 +16,18 @@
 
 
 def quorum_verdict(nodes: str, committed: str, accepted: str) -> str:
-    """Whether nodes are a quorum of a voting set."""
+    """Return 'a quorum' or 'no quorum' for nodes and a voting set."""
     voting_set = {'committed': parse_nodes(committed), 'accepted': parse_nodes(accepted)}
     return 'a quorum' if replica.joint_quorum(parse_nodes(nodes), voting_set) else 'no quorum'
 
 
-@behave.when('{nodes} stand for committed {committed} and accepted {accepted}')
-def nodes_stand_for(context, nodes: str, committed: str, accepted: str):
+@behave.when('{nodes} agree, with committed voters {committed} and accepted voters {accepted}')
+def nodes_agree(context, nodes: str, committed: str, accepted: str):
     context.verdict = quorum_verdict(nodes, committed, accepted)
 
 
-@behave.when(' stand for committed {committed} and accepted {accepted}')
-def nobody_stands_for(context, committed: str, accepted: str):
+@behave.when(' agree, with committed voters {committed} and accepted voters {accepted}')
+def no_node_agrees(context, committed: str, accepted: str):
     context.verdict = quorum_verdict('', committed, accepted)
 
 
@@ -55,22 +55,22 @@
     context.host.is_disk_full = True
 
 
-@behave.when('{node} asks to join term {term:d}')
+@behave.when('{node} requests a vote for term {term:d}')
 def candidate_asks_for_vote(context, node: str, term: int):
     context.host.recv(node, 'sjoin', term=term)
 
 
-@behave.then("a's vote leaves after its write")
+@behave.then("a's vote is sent after its write")
 def vote_is_sent_after_write(context):
     assert context.host.sent('vote') and context.host.written_before('vote'), context.host.effects
 
 
-@behave.then("a's vote does not leave")
+@behave.then("a's vote is not sent")
 def vote_is_not_sent(context):
     assert not context.host.sent('vote'), context.host.effects
 
 
-@behave.when('a stands for a term and b votes with accepted {accepted}')
+@behave.when('a starts an election and b votes with accepted {accepted}')
 def candidate_gets_vote(context, accepted: str):
     host = context.host
     voter_host.introduce(host, 'b', 'c')
@@ -92,22 +92,22 @@
         assert context.host.machine.mode == 'follower'
 
 
-@behave.when('c asks for a pre-vote')
+@behave.when('c requests a pre-vote')
 def pre_vote_requested(context):
     context.host.recv('c', 'prevote', term=voter_host.TERM, accepted=voter_host.VERSION)
 
 
-@behave.then("a's pre-vote leaves")
+@behave.then("a's pre-vote is sent")
 def pre_vote_is_sent(context):
     assert context.host.sent('prevote_re')
 
 
-@behave.then("a's pre-vote does not leave")
+@behave.then("a's pre-vote is not sent")
 def pre_vote_is_not_sent(context):
     assert not context.host.sent('prevote_re')
 
 
-@behave.when('a gets a pre-vote of b in term {seen:d}')
+@behave.when('a receives a pre-vote of b in term {seen:d}')
 def pre_vote_received(context, seen: int):
     host = context.host
     voter_host.introduce(host, 'b')
@@ -116,12 +116,12 @@
     host.recv('b', 'prevote_re', term=seen, accepted=voter_host.VERSION)
 
 
-@behave.then('a stands for term {term:d}')
-def stands_for_term(context, term: int):
+@behave.then('a starts an election for term {term:d}')
+def starts_election_for_term(context, term: int):
     assert [frame['term'] for frame in context.host.sent('sjoin')] == [term], context.host.effects
 
 
-# -- a leader that can not go on -----------------------------------------------------
+# -- a leader that must step down -----------------------------------------------------
 
 
 @behave.given('voter a of a,b,c leads')
@@ -131,27 +131,27 @@
     voter_host.lead(context.host)
 
 
-@behave.when('nothing answers for {duration:d} ms')
-def nothing_answers(context, duration: int):
+@behave.when('no node responds for {duration:d} ms')
+def no_node_responds(context, duration: int):
     context.host.run(duration)
 
 
-@behave.when('a generation finds no quorum for {duration:d} ms')
+@behave.when('a version is accepted by no quorum for {duration:d} ms')
 def version_finds_no_quorum(context, duration: int):
     host = context.host
     assert voter_host.in_flight(host)
-    # What it had before, because a voter that says it has accepted a version counts for it.
-    host.run(duration, lambda: voter_host.answer_heartbeats(host, voter_host.VERSION))
+    # The older version, because a voter that reports a version as accepted counts towards its quorum.
+    host.run(duration, lambda: voter_host.respond_to_heartbeats(host, voter_host.VERSION))
 
 
-@behave.when('b answers checks for {duration:d} ms')
+@behave.when('b responds to heartbeats for {duration:d} ms')
 def heartbeats_are_answered(context, duration: int):
     host = context.host
     voter_host.accept(host, voter_host.newest_publication(host))
-    host.run(duration, lambda: voter_host.answer_heartbeats(host))
+    host.run(duration, lambda: voter_host.respond_to_heartbeats(host))
 
 
-@behave.when('b answers a check in a later term')
+@behave.when('b responds to a heartbeat in a later term')
 def heartbeat_answered_in_later_term(context):
     context.host.recv('b', 'chk_re', term=context.host.machine.term + 1, round=1, no=True)
 
@@ -165,9 +165,9 @@
         lambda transaction: transaction.put('keys', 'k', {'value': '', 'rev': 1}) or {'status': 200},
         lambda result: None,
     )
-    host.run(500, lambda: voter_host.answer_heartbeats(host))
+    host.run(500, lambda: voter_host.respond_to_heartbeats(host))
 
 
-@behave.when('b asks a to join a later term')
+@behave.when('b requests a vote of a for a later term')
 def leader_sees_later_term(context):
     context.host.recv('b', 'sjoin', term=context.host.machine.term + 1)
--- a/features/steps/data_folder_format_steps.py
+++ b/features/steps/data_folder_format_steps.py
@@ -31,12 +31,12 @@
 
 
 def version_file(number: int) -> str:
-    """The contents of a version of term 3, which changes one row."""
+    """Return the file of a version of term 3 that changes one row."""
     row = ['keys', f'k{number}', {'value': '', 'rev': number}]
     return storage.encode({'term': 3, 'gen': number, 'base': [3, number - 1], 'rows': [row]})
 
 
-@behave.given('the files of voter a with generations up to 3.12 from checkpoint 3.9')
+@behave.given('the files of voter a with versions up to 3.12 from snapshot 3.9')
 def files_of_voter(context):
     context.files = machine_host.data_folder('a', voter_host.VOTERS, voter_host.TERM, voter_host.VERSION)
     for number in (10, 11, 12):
@@ -49,27 +49,27 @@
     context.files[name] = text[:-3] + chr(ord(text[-3]) ^ 1) + text[-2:]
 
 
-@behave.when('nothing is done to them')
+@behave.when('they are left unchanged')
 def files_are_left(context):
-    """Go on to the next step with the files as they are."""
+    """Leave the files as they are."""
 
 
-@behave.when('the newest generation is flipped')
+@behave.when('a bit of the newest version is flipped')
 def newest_version_is_damaged(context):
     flip_bit(context, storage.version_name((3, 12)))
 
 
-@behave.when('a middle generation is removed')
+@behave.when('a middle version is removed')
 def middle_version_is_removed(context):
     context.files.pop(storage.version_name((3, 11)))
 
 
-@behave.when('the checkpoint is flipped')
+@behave.when('a bit of the snapshot is flipped')
 def snapshot_is_damaged(context):
     flip_bit(context, storage.snapshot_name((3, 9)))
 
 
-@behave.when('the term file is flipped')
+@behave.when('a bit of the term file is flipped')
 def term_file_is_damaged(context):
     flip_bit(context, 'term')
 
@@ -84,7 +84,7 @@
     context.files.pop('node')
 
 
-@behave.when('an older leftover generation is kept')
+@behave.when('a version of an older term is left over')
 def older_version_is_kept(context):
     text = storage.encode({'term': 2, 'gen': 9, 'base': [2, 8], 'rows': []})
     context.files[storage.version_name((2, 9))] = text
@@ -96,11 +96,11 @@
 
 
 def load_verdict(files: dict[str, str]) -> str:
-    """What loading files gives: a version, that they are empty, or damaged."""
+    """Load files; return the accepted version, 'empty' or 'corruption'."""
     try:
         node, _, _, _, loaded = storage.load(files)
     except errors.CorruptionError:
-        return 'damage'
+        return 'corruption'
     return 'empty' if node is None else f'{loaded.accepted[0]}.{loaded.accepted[1]}'
 
 
@@ -114,7 +114,7 @@
 
 
 def read_folder(folder: str) -> dict[str, str]:
-    """The files of a data folder, without taking its lock."""
+    """Read the files of a data folder without taking its lock."""
     return disk.Disk.load(types.SimpleNamespace(folder=folder))
 
 
@@ -144,7 +144,9 @@
     assert storage.decode('node', files['node'])['format'] == 2
 
 
-@behave.then('the lock is renewed by its holder, refused to another, and freed by its taking')
+@behave.then(
+    'the lock is renewed by its holder, refused to another holder, and released under the id it was taken with'
+)
 def lock_goes_on(context):
     machine = context.machine
     machine.lock_expiry.deadlines = {'l': durations.ms(60000)}
@@ -161,7 +163,7 @@
     assert run('lock.free', holder='x', take='a')['freed']
 
 
-@behave.given('its format is said to be {level:d}')
+@behave.given('its format is set to {level:d}')
 def format_is_changed(context, level: int):
     name = os.path.join(context.folder, 'node')
     with open(name) as source:
@@ -182,7 +184,7 @@
     )
 
 
-@behave.then('it ends with code 2, names both formats, and every file is as it was')
+@behave.then('it exits with code 2, names both formats, and every file is unchanged')
 def newer_format_is_refused(context):
     done = context.done
     assert done.returncode == 2 and '99' in done.stderr and 'up to 2' in done.stderr, done
--- a/features/steps/data_folder_steps.py
+++ b/features/steps/data_folder_steps.py
@@ -1,4 +1,4 @@
-"""Steps of leaving.feature: what a data folder holds after versions and snapshots were written."""
+"""Steps of leaving.feature: the files of a data folder after versions and snapshots were written."""
 
 import os
 import tempfile
@@ -9,7 +9,7 @@
 import zinctrail.transport.disk as disk
 
 
-@behave.given('a data folder with a checkpoint that made two generations needless')
+@behave.given('a data folder with a snapshot that made two versions obsolete')
 def folder_with_snapshot(context):
     context.folder = tempfile.mkdtemp(prefix='zt-disk-')
     context.disk = disk.Disk(context.folder)
@@ -18,7 +18,7 @@
     context.disk.write('ckpt-2', 'whole', ('gen-1', 'gen-2'))
 
 
-@behave.when('two more generations are written and one is left aside')
+@behave.when('two more versions are written and one is left unfinished')
 def versions_written(context):
     context.disk.write('gen-3', 'short')
     context.disk.write('gen-4', 'y' * 500)
@@ -26,16 +26,16 @@
         unfinished.write('torn')
 
 
-@behave.then('the old files are gone, the new ones are whole, and nothing is left aside')
+@behave.then('the old files are removed, the new ones are complete, and no unfinished file is left')
 def folder_holds_new_files(context):
     assert context.disk.load() == {'ckpt-2': 'whole', 'gen-3': 'short', 'gen-4': 'y' * 500}
     assert not [name for name in os.listdir(context.folder) if name.endswith('.tmp')]
 
 
-@behave.then('a second process can not use the folder')
+@behave.then('a second process cannot use the folder')
 def folder_is_locked(context):
     try:
         disk.Disk(context.folder)
     except errors.DiskError:
         return
-    raise AssertionError('it was taken twice')
+    raise AssertionError('a second process took the lock of the data folder')
--- a/features/steps/data_format_steps.py
+++ b/features/steps/data_format_steps.py
@@ -1,4 +1,4 @@
-"""Steps of data_format.feature: a data folder that was recorded once is read and written without a difference."""
+"""Steps of data_format.feature: a recorded data folder is loaded, and its files are written with the same bytes."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 def recorded_files() -> dict[str, str]:
-    """The files of the recorded folder."""
+    """Return the files of the recorded folder."""
     files = {}
     for name in os.listdir(folder_sample.FOLDER):
         with open(os.path.join(folder_sample.FOLDER, name), encoding='utf-8') as file:
@@ -38,7 +38,7 @@
 def content_as_recorded(context):
     with open(folder_sample.CONTENT, encoding='utf-8') as file:
         recorded = json.load(file)
-    # Through JSON, which knows no tuples.
+    # Converted through JSON, which turns tuples into lists.
     assert json.loads(json.dumps(context.content)) == recorded, context.content
 
 
--- a/features/steps/first_start_steps.py
+++ b/features/steps/first_start_steps.py
@@ -15,7 +15,7 @@
 
 ms = durations.ms
 UNREACHABLE_SEEDS = ['10.99.0.1:1000', '10.99.0.2:1000', '10.99.0.3:1000']
-# What part of the seeds of large first starts answers nothing.
+# The share of unreachable addresses among the seeds of large first starts.
 STALE_SHARE = 0.2
 
 
@@ -31,27 +31,27 @@
         context.first_start.run(simulated, first_start.FORMING_TIME)
 
 
-@behave.when('they first start with {group} cut from the rest')
+@behave.when('they first start with {group} partitioned from the rest')
 def start_with_group_cut_off(context, group: str):
     for simulated in context.first_start.worlds:
         simulated.partition(group.split(','))
-        context.first_start.start_apart(simulated)
+        context.first_start.start_partitioned(simulated)
 
 
-@behave.when('they first start with cores cut in halves that both see dir0')
+@behave.when('they first start with cores split into halves that both reach dir0')
 def start_with_halves(context):
     for simulated in context.first_start.worlds:
         for index in range(3):
             for other in range(3, 6):
                 simulated.cut(f'core{index}', f'core{other}')
-        context.first_start.start_apart(simulated)
+        context.first_start.start_partitioned(simulated)
 
 
-@behave.when('they first start with core0 seeing nobody for a while')
+@behave.when('they first start with core0 isolated for a while')
 def start_with_one_isolated(context):
     for simulated in context.first_start.worlds:
         simulated.isolate('core0')
-        context.first_start.start_apart(simulated)
+        context.first_start.start_partitioned(simulated)
 
 
 @behave.when('they first start with {group} twenty seconds late')
@@ -71,8 +71,8 @@
         context.first_start.run(simulated, ms(60000))
 
 
-@behave.when('they first start with the former of the cluster killed as it forms')
-def start_with_former_killed(context):
+@behave.when('they first start with the node that forms the cluster killed as it does so')
+def start_with_forming_node_killed(context):
     for simulated in context.first_start.worlds:
         control_nodes = simulated.of('core')
         first_start.start_all(simulated)
@@ -80,10 +80,10 @@
             ms(20000),
             lambda control_nodes=control_nodes: any(node.up and node.machine.cluster for node in control_nodes),
         )
-        former = next(node for node in control_nodes if node.machine.cluster)
-        former.kill(power=True)
+        forming_node = next(node for node in control_nodes if node.machine.cluster)
+        forming_node.kill(power=True)
         context.first_start.run(simulated, ms(20000))
-        former.start()
+        forming_node.start()
         context.first_start.run(simulated, first_start.FORMING_TIME)
 
 
@@ -125,7 +125,7 @@
         context.first_start.run(simulated, ms(12000))
 
 
-@behave.then('core9 is a voter of the one cluster and core2 is none')
+@behave.then('core9 is a voter of the only cluster and core2 is not')
 def new_control_node_votes(context):
     for simulated in context.first_start.worlds:
         voting_set = simulated.leader().machine.replica.get('meta', 'vc')
@@ -135,20 +135,20 @@
         assert len(context.first_start.seen[simulated]) == 1
 
 
-@behave.when('core2 restarts with seeds that nobody answers')
+@behave.when('core2 restarts with unreachable seeds')
 def control_node_restarts_with_stale_seeds(context):
     for simulated in context.first_start.worlds:
         node = simulated.nodes['core2']
         node.kill()
         simulated.run(ms(10000))
-        # Its disk as well, so that it can not recover by what it remembers of the others.
+        # Its disk is emptied too, so that it does not know the addresses of the others.
         node.disk.files = {}
         node.location.seeds = list(UNREACHABLE_SEEDS)
         node.start()
         context.first_start.run(simulated, ms(10000))
 
 
-@behave.then('core2 follows the master again')
+@behave.then('core2 follows the leader again')
 def control_node_follows(context):
     for simulated in context.first_start.worlds:
         node = simulated.nodes['core2']
@@ -156,7 +156,7 @@
         assert is_in_order, (simulated.seed, node.machine.status(), node.logs[-5:])
 
 
-@behave.when('a core of another cluster is pointed at them')
+@behave.when('a core of another cluster learns the address of core0')
 def node_of_other_cluster_comes(context):
     for simulated in context.first_start.worlds:
         other = simulated.add('other', 'core', 'r9/c9')
@@ -170,7 +170,7 @@
         context.first_start.run(simulated, ms(10000))
 
 
-@behave.then('it is refused and logged, and stays in its own')
+@behave.then('it is refused, the refusal is logged, and it stays in its own cluster')
 def node_of_other_cluster_is_refused(context):
     for simulated in context.first_start.worlds:
         other, own = simulated.nodes['other'].machine, simulated.nodes['core0'].machine
@@ -187,7 +187,7 @@
 @behave.when('regions are configured')
 def regions_configured(context):
     for simulated in context.first_start.worlds:
-        # Without endpoints and callers, of which an operator needs nothing.
+        # Without endpoints and callers, which an operator does not need.
         deployment = client_deployment.Deployment.__new__(client_deployment.Deployment)
         deployment.world, deployment.notes = simulated, actor_notes.Notes()
         zones = [node.location.cell for node in simulated.nodes.values()]
@@ -208,8 +208,8 @@
         voters = replica.get('meta', 'vc')['accepted']
         zones = [replica.get('members')[voter]['cell'] for voter in voters]
         regions = [node_location.region_of(replica.get('cells'), zone) for zone in zones]
-        most = max(regions.count(region) for region in regions)
-        assert len(regions) == 5 and most == 2, (simulated.seed, voters, regions)
+        largest_count = max(regions.count(region) for region in regions)
+        assert len(regions) == 5 and largest_count == 2, (simulated.seed, voters, regions)
 
 
 @behave.when('accra first starts {how} under seeds {first:d} to {last:d}')
@@ -218,14 +218,14 @@
     context.starts = [first_starts.FirstStart(seed, shape, STALE_SHARE, how).run() for seed in range(first, last + 1)]
 
 
-@behave.then('one cluster forms and everybody joins it')
+@behave.then('one cluster forms and all nodes join it')
 def large_deployment_formed(context):
     for start in context.starts:
         assert start.verdict() == '', (start.seed, start.how, start.verdict())
 
 
-@behave.then('core1 says which seeds are silent, in its log and its status')
-def silent_seeds_are_told(context):
+@behave.then('core1 reports the silent seeds in its log and its status')
+def silent_seeds_are_reported(context):
     for simulated in context.first_start.worlds:
         node = simulated.nodes['core1']
         silent = sorted(simulated.nodes[name].location.addr for name in ('core0', 'dir0'))
--- a/features/steps/frames_steps.py
+++ b/features/steps/frames_steps.py
@@ -1,4 +1,4 @@
-"""Steps of frames.feature: frames that were recorded once are read and written without a difference."""
+"""Steps of frames.feature: recorded frames are decoded and encoded to the same bytes."""
 
 import json
 import os
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -24,17 +24,20 @@
 # -- frames between processes -----------------------------------------------------
 
 
-@behave.given('a small world with traffic whose frames are noted')
-def world_with_noted_frames(context):
-    """One frame of each kind to each role, noted on a day with many faults: {(kind, role): (node, frame)}."""
+@behave.given('a small world with traffic whose frames are recorded')
+def world_with_recorded_frames(context):
+    """Run a world with many faults, and record one frame of each kind to each role.
+
+    context.frames is {(kind, role): (node, frame)}.
+    """
     context.frames = {}
     small_world = context.world = world.World(5)
 
-    def note(source, target, text):
+    def record(source, target, text):
         frame = json.loads(text)
         context.frames.setdefault((frame['t'], target.role), (target, frame))
 
-    small_world.on_deliver = note
+    small_world.on_deliver = record
     deployment = context.deployment = client_deployment.Deployment(small_world, deployments.PRESETS['small'])
     deployment.start()
     deployment.start_callers(60, storm=1.0)
@@ -58,14 +61,14 @@
 
 
 def state_of(machine):
-    """All that a machine holds, as text, except for what may change with any input."""
+    """Return the state of a machine as text, except for attributes that may change with any input."""
     replica = machine.replica
     attributes = {name: value for name, value in sorted(vars(machine).items()) if name not in VOLATILE_ATTRIBUTES}
     return repr(attributes | {'replica': (replica.tables, replica.pending, replica.accepted, replica.committed)})
 
 
 def is_readable(frame):
-    """Whether a frame is well-formed."""
+    """True if a frame is well-formed."""
     try:
         message_kinds.decode(frame)
     except errors.FrameError:
@@ -73,8 +76,8 @@
     return True
 
 
-def noted_frames(context):
-    """(kind, machine, frame) of the noted frames, each with a node of its role that runs."""
+def recorded_frames(context):
+    """Yield (kind, machine, frame) of the recorded frames, each with a running node of its role."""
     for (kind, role), (node, frame) in sorted(context.frames.items(), key=lambda item: item[0]):
         if not node.up:
             node = next(other for other in context.world.of(role) if other.up)
@@ -84,10 +87,10 @@
 @behave.when('each kind of frame is sent again with each field missing, of a wrong type, over-long or deeply nested')
 def send_malformed_frames(context):
     context.kinds_tried, context.rejected = set(), 0
-    for kind, machine, frame in noted_frames(context):
+    for kind, machine, frame in recorded_frames(context):
         reject_malformed(context, kind, machine, dict(frame, c=machine.cluster))
-    # Well-formed frames come last, because a machine may act on them; it must only not break.
-    for _, machine, frame in noted_frames(context):
+    # Well-formed frames come last, because a machine may act on them; it must only not raise an exception.
+    for _, machine, frame in recorded_frames(context):
         for field in sorted(frame):
             for wrong in WRONG_VALUES:
                 changed = dict(frame, c=machine.cluster, **{field: wrong}) if field != 'c' else dict(frame)
@@ -109,7 +112,7 @@
         context.kinds_tried.add(kind)
 
 
-@behave.then('what is wrong is counted and changes nothing, and what will do breaks nobody')
+@behave.then('malformed frames are counted and change nothing, and well-formed ones break no process')
 def malformed_are_rejected(context):
     assert context.rejected > 3000, context.rejected
 
@@ -120,7 +123,7 @@
     assert len(context.kinds_tried) >= count, (len(context.kinds_tried), missing)
 
 
-# -- pages of control nodes and directories ---------------------------------------
+# -- HTTP API of control nodes and directories ---------------------------------------
 
 MALFORMED_BODIES = [b'{', b'[]', b'null', b'7', b'"x"', b'\xff\xfe', b'[' * 50000, b'{"a":' * 50000]
 FIELDS = (
@@ -148,22 +151,22 @@
     dict.fromkeys(FIELDS, value) for value in (None, -1, 1.5, [], {}, 'x' * 5000, '/ours', DEEPLY_NESTED)
 ]
 UNKNOWN_PAGES = [('POST', '/v1/answer'), ('POST', '/v1/nothing'), ('DELETE', '/v1/config')]
-# Pages all of whose fields are optional.
+# Paths whose fields are all optional.
 OPTIONAL_FIELDS = ('/v1/answer', '/v1/key/watch')
-KEPT_TABLES = ('keys', 'locks', 'numbers', 'conf', 'cells', 'done', 'endpoints', 'goners', 'claims')
+WRITABLE_TABLES = ('keys', 'locks', 'numbers', 'conf', 'cells', 'done', 'endpoints', 'goners', 'claims')
 
 
-def kept_tables(context):
-    """A copy of the replicated tables that calls may write."""
+def writable_tables(context):
+    """Return a copy of the replicated tables that calls may write."""
     replica = context.world.leader().machine.replica
-    return {table: copy.deepcopy(replica.get(table)) for table in KEPT_TABLES}
+    return {table: copy.deepcopy(replica.get(table)) for table in WRITABLE_TABLES}
 
 
 @behave.when('every page is called with garbage, over-long, deeply nested and wrong-typed bodies')
 def call_pages(context):
     small_world = context.world
     context.deployment.stop_load(ms(2000))
-    context.kept_before = kept_tables(context)
+    context.tables_before = writable_tables(context)
     context.responses = []
     pages = [page for page in [*sorted(http_api.PAGES), *UNKNOWN_PAGES] if page[0] != 'GET']
     bodies = MALFORMED_BODIES + [json.dumps(document).encode() for document in WRONG_DOCUMENTS]
@@ -172,11 +175,11 @@
             for body in bodies:
                 response = fetch(context, node, method, path, {}, body, CALL_TIMEOUT)
                 context.responses.append((method, path, body, response))
-    context.kept_after = kept_tables(context)
+    context.tables_after = writable_tables(context)
 
 
 def fetch(context, node, method, path, headers, body, timeout):
-    """The response of a node to a call."""
+    """Return the response of a node to a call."""
     responses = []
     call = context.world.fetch('someone', node.location.http, method, path, headers, body, timeout)
     call.addCallback(responses.append)
@@ -184,14 +187,14 @@
     return responses[0]
 
 
-@behave.then('each call is answered with a fault, and the kept state is as before')
+@behave.then('each call gets an error response, and the replicated state is unchanged')
 def calls_are_refused(context):
     for method, path, body, response in context.responses:
         is_fine = path in OPTIONAL_FIELDS and response.status == 200
         assert is_fine or 400 <= response.status < 500, (method, path, body[:200], response)
         assert is_fine or json.loads(response.body)['fault'], (path, response)
-    before, after = context.kept_before, context.kept_after
-    changed = {table: (before[table], after[table]) for table in KEPT_TABLES if before[table] != after[table]}
+    before, after = context.tables_before, context.tables_after
+    changed = {table: (before[table], after[table]) for table in WRITABLE_TABLES if before[table] != after[table]}
     assert not changed, changed
 
 
@@ -209,14 +212,14 @@
 
 
 def send_request(context, header, value):
-    """Send a request that is well-formed but for one header."""
+    """Send a request that is well-formed except for one header."""
     proxy = context.world.of('prox')[0]
     epoch = proxy.machine.replica.get('meta', 'epoch')
     headers = {'zt-id': f'{epoch}.in', 'zt-left-ms': '2000', header: value}
     context.response = fetch(context, proxy, 'POST', '/r/loans/x', headers, b'{}', ms(4000))
 
 
-@behave.then('it is told not-run with status {status:d}')
+@behave.then('it gets outcome not-run with status {status:d}')
 def refused_as_not_run(context, status: int):
     response = context.response
     assert response.status == status and json.loads(response.body)['outcome'] == 'not-run', response
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -29,14 +29,14 @@
     context.world.run(ms(12000))
 
 
-@behave.then('it tells not ready at once, ends by itself, and no request fails')
+@behave.then('it reports that it is not ready at once, exits by itself, and no request fails')
 def proxy_has_left(context):
     assert context.readiness == (False, 'leaving')
     assert context.node.exited and not context.node.machine.runner.requests
     small_world.assert_failures(context, 0)
 
 
-@behave.when('the master is told to stop')
+@behave.when('the leader is told to stop')
 def leader_is_stopped(context):
     simulated = context.world
     old_leader, stopped_at = simulated.leader(), simulated.now
@@ -142,7 +142,7 @@
     simulated.run(ms(3000))
 
 
-@behave.then('it is up to date again without the whole state being sent')
+@behave.then('it is up to date again without the full state being sent')
 def node_got_a_difference(context):
     leader = context.world.leader().machine
     committed, wanted = context.node.machine.replica.committed, tuple(leader.replica.get('meta', 'routes'))
@@ -162,7 +162,7 @@
     return responses
 
 
-@behave.when('a number, a key and a lock are asked for twice with one id each, through different directories')
+@behave.when('a number, a key and a lock are requested twice with one id each, through different directories')
 def calls_are_made_twice(context):
     directories = context.world.of('dir')[:2]
     epoch = context.epoch = context.world.of('dir')[0].machine.replica.get('meta', 'epoch')
@@ -187,7 +187,7 @@
     return responses
 
 
-@behave.then('each acted once')
+@behave.then('each request was applied once')
 def each_call_acted_once(context):
     responses, epoch = context.responses, context.epoch
     assert all(len(pair) == 2 for pair in responses.values()), responses
@@ -220,7 +220,7 @@
             assert node.attr not in CLOCK_READS, path
 
 
-@behave.then('no module of consensus, control, directory or proxy imports time, nor asks for the present')
+@behave.then('no module of consensus, control, directory or proxy imports time or reads the current time')
 def no_machine_reads_a_clock(context):
     root = os.path.dirname(zinctrail.__file__)
     paths = [path for package in PACKAGES_WITHOUT_CLOCK for path in glob.glob(os.path.join(root, package, '*.py'))]
--- a/features/steps/refusals_frames_steps.py
+++ b/features/steps/refusals_frames_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals.feature: frames and inputs that come from the wrong node or at the wrong moment."""
+"""Steps of refusals.feature: frames and inputs that arrive from the wrong node or at the wrong time."""
 
 import behave
 
@@ -6,7 +6,7 @@
 import zinctrail.runtime.effects as effects
 
 VERSION = (3, 9)
-# {kind: its fields, but for the term}
+# {kind: its fields, except the term}
 FRAMES_OF_MEMBERS = {
     'com_re': {'at': VERSION},
     'leave': {},
@@ -16,8 +16,8 @@
 }
 
 
-@behave.when('z, which is no member, sends a frame {kind}')
-def stranger_sends(context, kind):
+@behave.when('z, which is not a member, sends a frame {kind}')
+def non_member_sends(context, kind):
     node = context.node
     node.recv('z', kind, term=node.machine.term, **FRAMES_OF_MEMBERS[kind])
 
@@ -29,18 +29,18 @@
     assert not [send for send in node.sends if send.address == machine_host.address_of('z')]
 
 
-@behave.when('b asks it to join term {term:d}')
+@behave.when('b requests its vote for term {term:d}')
 def asked_to_join(context, term):
     context.host.recv('b', 'sjoin', term=term)
 
 
-@behave.when('b publishes {version} with neither a base nor a whole state')
+@behave.when('b publishes {version} with neither a base nor a full state')
 def publishes_neither(context, version):
     context.unreadable_before = context.host.machine.bad_frames
     context.host.recv('b', 'pub', term=3, at=(3, 10), http='')
 
 
-@behave.then('one frame is counted as unreadable, and not answered')
+@behave.then('one frame is counted as malformed, and gets no response')
 def one_unreadable(context):
     assert not context.host.sent('pub_re'), context.host.effects
     assert context.host.machine.bad_frames == context.unreadable_before + 1
@@ -51,25 +51,27 @@
     context.host.recv('b', 'leave_re')
 
 
-def has_ended(context, duration: int) -> bool:
-    """Whether the process ends while time goes on."""
-    ends = []
-    context.host.run(duration, lambda: ends.extend(e for e in context.host.effects if isinstance(e, effects.Exit)))
-    return bool(ends)
+def process_exits(context, duration: int) -> bool:
+    """Advance the clock; True if the process exits within this time."""
+    exit_effects = []
+    context.host.run(
+        duration, lambda: exit_effects.extend(e for e in context.host.effects if isinstance(e, effects.Exit))
+    )
+    return bool(exit_effects)
 
 
-@behave.then('a does not end within {duration:d} ms')
-def does_not_end(context, duration):
-    assert not has_ended(context, duration)
+@behave.then('a does not exit within {duration:d} ms')
+def does_not_exit(context, duration):
+    assert not process_exits(context, duration)
 
 
 @behave.when('a is told to stop, and again after {pause:d} ms')
 def told_to_stop_twice(context, pause):
     context.host.feed('stop')
-    assert not has_ended(context, pause)
+    assert not process_exits(context, pause)
     context.host.feed('stop')
 
 
-@behave.then('a ends within {duration:d} ms')
-def ends_within(context, duration):
-    assert has_ended(context, duration)
+@behave.then('a exits within {duration:d} ms')
+def exits_within(context, duration):
+    assert process_exits(context, duration)
--- a/features/steps/refusals_leading_steps.py
+++ b/features/steps/refusals_leading_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals_leading.feature: what a leader must not publish, count or change by itself."""
+"""Steps of refusals_leading.feature: publications, acceptances and voting set changes that a leader must refuse."""
 
 import behave
 
@@ -11,14 +11,14 @@
 
 
 def change(context, key: str) -> None:
-    """Ask the leader for a change of its own."""
+    """Submit a change of one row to the leader."""
     node = context.node
     node.machine.submit(lambda txn: txn.put(TABLE, key, {'labels': {}}) or {'status': 200}, lambda result: None)
     node.feed('wake')
 
 
 def published(context) -> list[dict]:
-    """The publications that b was sent since its silence began, each once."""
+    """Return the publications that b was sent since the voters stopped responding, each version once."""
     frames = context.node.sent('pub')[context.before :]
     return list({tuple(frame['at']): frame for frame in frames}.values())
 
@@ -30,16 +30,16 @@
     context.node.lead()
 
 
-@behave.when('its voters fall silent')
+@behave.when('its voters stop responding')
 def voters_fall_silent(context):
     node = context.node
-    # Until nothing is on its way.
+    # Run until no publication is in flight.
     node.run(1000)
     node.is_muted = True
     context.before = len(node.sent('pub'))
 
 
-@behave.when('its voters fall silent, and two changes are published')
+@behave.when('its voters stop responding, and two changes are published')
 def two_changes_published(context):
     voters_fall_silent(context)
     for key in ('r0/c1', 'r0/c2'):
@@ -55,15 +55,15 @@
     node.recv('b', 'pub_re', term=node.machine.term, at=context.first, ok=True, accepted=context.first)
 
 
-@behave.then('the first is in force, and the second is not')
+@behave.then('the first is committed, and the second is not')
 def only_first_in_force(context):
     replica = context.node.machine.replica
     assert replica.committed == tuple(context.first), (replica.committed, context.first)
     assert replica.get(TABLE, 'r0/c1') is not None and replica.get(TABLE, 'r0/c2') is None
 
 
-@behave.when('{count:d} change is asked for, {gap:d} ms apart')
-@behave.when('{count:d} changes are asked for, {gap:d} ms apart')
+@behave.when('{count:d} change is requested, {gap:d} ms apart')
+@behave.when('{count:d} changes are requested, {gap:d} ms apart')
 def changes_asked_for(context, count, gap):
     for number in range(count):
         change(context, f'r0/c{number}')
@@ -82,7 +82,7 @@
     context.node.run(duration)
 
 
-@behave.when('c leaves at once, and {duration:d} ms go by')
+@behave.when('c leaves at once, and {duration:d} ms pass')
 def voter_leaves(context, duration):
     node = context.node
     node.recv('c', 'leave')
@@ -97,8 +97,8 @@
     assert voting_set == {'committed': expected, 'accepted': expected}, voting_set
 
 
-def answer_heartbeats_alone(context, times: int) -> None:
-    """The voter b answers the newest heartbeat again and again, and no publication."""
+def respond_only_to_heartbeats(context, times: int) -> None:
+    """Let b respond to the newest heartbeat several times, and to no publication."""
     node = context.node
     for _ in range(times):
         node.run(20)
@@ -107,29 +107,29 @@
         node.recv('b', 'chk_re', term=node.machine.term, round=round_number, **held)
 
 
-@behave.when('a key is put, and put again under the same id, while b answers heartbeats alone')
+@behave.when('a key is put, and put again under the same id, while b responds only to heartbeats')
 def key_is_put_twice(context):
     node, context.results = context.node, []
     epoch = node.machine.replica.get('meta', 'epoch')
     for _ in range(2):
         node.machine.serve('key.put', {'key': 'k', 'value': 'v', 'id': f'{epoch}.x'}, context.results.append)
         node.feed('wake')
-        answer_heartbeats_alone(context, 8)
+        respond_only_to_heartbeats(context, 8)
     assert node.machine.mode == 'leader'
 
 
-@behave.then('neither of them is answered')
+@behave.then('neither request gets a response')
 def none_is_answered(context):
     assert not context.results, context.results
 
 
-@behave.when('its voters answer again, and {duration:d} ms go by')
+@behave.when('its voters respond again, and {duration:d} ms pass')
 def voters_answer_again(context, duration):
     context.node.is_muted = False
     context.node.run(duration)
 
 
-@behave.then('both of them are answered with status {status:d}')
+@behave.then('both requests get a response with status {status:d}')
 def both_are_answered(context, status):
     assert [result['status'] for result in context.results] == [status, status], context.results
 
@@ -137,8 +137,8 @@
 # -- changes of the voting set --------------------------------------------------
 
 
-def answer_as(context, sender: str) -> None:
-    """A control node says that it has accepted all that the leader has."""
+def accept_all_as(context, sender: str) -> None:
+    """Let a control node report that it has accepted the leader's newest version."""
     node = context.node
     accepted = node.machine.replica.accepted
     node.recv(sender, 'pub_re', term=node.machine.term, at=accepted, ok=True, accepted=accepted)
@@ -148,19 +148,19 @@
 def leads_with_spare(context):
     context.node = node = control_node.ControlNode()
     node.serve()
-    # Only b answers by itself, so that c was taken for gone and joins again.
+    # Only b responds by itself, so that the leader has removed c, which joins again.
     for joining in 'cd':
         row = machine_host.member_row(joining)
         node.recv(joining, 'join', member=row, accepted=(0, 0), term=node.machine.term)
     node.run(100)
     assert {'c', 'd'} <= set(node.machine.replica.get('members'))
     for joining in 'cd':
-        answer_as(context, joining)
+        accept_all_as(context, joining)
     node.run(100)
     assert node.machine.replica.get('meta', 'vc')['accepted'] == ['a', 'b', 'c']
 
 
-@behave.when('its voters fall silent, and a change is published')
+@behave.when('its voters stop responding, and a change is published')
 def change_is_published(context):
     context.node.is_muted = True
     context.before = len(context.node.sent('pub'))
@@ -175,7 +175,7 @@
 
 
 def published_voting_sets(context) -> list[dict]:
-    """The voting sets that were published since the voters' silence began."""
+    """Return the voting sets that were published since the voters stopped responding."""
     return [value for frame in published(context) for table, key, value in frame['rows'] if (table, key) == VOTING_SET]
 
 
@@ -208,10 +208,10 @@
     assert context.node.sent('leave_re', 'c')
 
 
-@behave.when('its voters and d answer again, and {duration:d} ms go by')
+@behave.when('its voters and d respond again, and {duration:d} ms pass')
 def all_answer_again(context, duration):
     node = context.node
     node.is_muted = False
     for _ in range(duration // 50):
         node.run(50)
-        answer_as(context, 'd')
+        accept_all_as(context, 'd')
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals.feature: conditions that refuse, wait or return early, one at a time."""
+"""Steps of refusals.feature: the conditions under which a node refuses, waits or returns early, one at a time."""
 
 import hashlib
 import json
@@ -27,14 +27,14 @@
 }
 
 
-def version_of(text: str) -> tuple[int, int]:
-    """A version written TERM.NUMBER."""
+def parse_version(text: str) -> tuple[int, int]:
+    """Parse a version that is written TERM.NUMBER."""
     term, number = text.split('.')
     return int(term), int(number)
 
 
-def probed(host, *nodes: str) -> None:
-    """The nodes answer a probe, so that the machine knows them to be there."""
+def respond_to_probe(host, *nodes: str) -> None:
+    """Let nodes respond to a probe, so that the machine knows that they are reachable."""
     for node in nodes:
         row = machine_host.member_row(node)
         host.recv(node, 'probe_re', member=row, term=0, master=None, partners=[], seeds=[])
@@ -43,40 +43,40 @@
 # -- elections ------------------------------------------------------------------
 
 
-@behave.when('a asks for pre-votes, and b agrees with accepted {accepted}')
+@behave.when('a requests pre-votes, and b grants one with accepted {accepted}')
 def pre_vote_is_asked_for(context, accepted: str):
     host = context.host
-    probed(host, 'b')
+    respond_to_probe(host, 'b')
     asked = []
-    host.run(1000, lambda: (asked.extend(host.sent('prevote')), probed(host, 'b')))
+    host.run(1000, lambda: (asked.extend(host.sent('prevote')), respond_to_probe(host, 'b')))
     assert asked
-    host.recv('b', 'prevote_re', term=3, accepted=version_of(accepted))
+    host.recv('b', 'prevote_re', term=3, accepted=parse_version(accepted))
 
 
-@behave.when('b agrees with accepted {accepted}')
+@behave.when('b grants a pre-vote with accepted {accepted}')
 def pre_vote_is_given(context, accepted: str):
-    context.host.recv('b', 'prevote_re', term=3, accepted=version_of(accepted))
+    context.host.recv('b', 'prevote_re', term=3, accepted=parse_version(accepted))
 
 
-@behave.then('a does not stand')
-def does_not_stand(context):
+@behave.then('a starts no election')
+def starts_no_election(context):
     assert not context.host.sent('sjoin'), context.host.effects
 
 
 def pre_votes_asked_within(context, duration_ms: int) -> list:
-    """The pre-votes that the machine asks for while b and c answer its probes."""
+    """Return the pre-vote requests that the machine sends while b and c respond to its probes."""
     host, asked = context.host, []
-    probed(host, 'b', 'c')
-    host.run(duration_ms, lambda: (asked.extend(host.sent('prevote')), probed(host, 'b', 'c')))
+    respond_to_probe(host, 'b', 'c')
+    host.run(duration_ms, lambda: (asked.extend(host.sent('prevote')), respond_to_probe(host, 'b', 'c')))
     return asked
 
 
-@behave.then('a asks for no pre-vote within {duration:d} ms, though a quorum answers it')
+@behave.then('a requests no pre-vote within {duration:d} ms, though a quorum responds to its probes')
 def asks_for_no_pre_vote(context, duration: int):
     assert not pre_votes_asked_within(context, duration)
 
 
-@behave.then('a asks for pre-votes later')
+@behave.then('a requests pre-votes later')
 def asks_for_pre_votes(context):
     assert pre_votes_asked_within(context, 2000)
 
@@ -103,13 +103,13 @@
     context.host.feed('disk_fault', 'full')
 
 
-@behave.when('b names a its successor in term {term:d}')
+@behave.when('b names a as its successor in term {term:d}')
 def is_named_successor(context, term: int):
     context.host.recv('b', 'succeed', term=term)
 
 
-@behave.then('a stands at once')
-def stands_at_once(context):
+@behave.then('a starts an election at once')
+def starts_election_at_once(context):
     assert {frame['term'] for frame in context.host.sent('sjoin')} == {context.host.machine.term}, context.host.effects
 
 
@@ -122,19 +122,19 @@
     assert context.host.machine.mode == 'follower'
 
 
-@behave.when('c sends it a heartbeat of term {term:d} that grants the round it has')
+@behave.when('c sends it a heartbeat of term {term:d} with a lease grant for its last round')
 def heartbeat_of_older_term(context, term: int):
     context.host.recv('c', 'chk', term=term, to=context.host.machine.node, round=8, http='', ack=7)
 
 
-@behave.then('it answers with a refusal in term {term:d}, and holds no lease')
+@behave.then('it responds with a refusal in term {term:d}, and holds no lease')
 def heartbeat_is_refused(context, term: int):
     (answer,) = context.host.sent('chk_re')
     assert answer.get('no') is True and answer['term'] == term, answer
     assert not context.host.machine.has_lease()
 
 
-@behave.when('d of term {term:d} asks to be a member')
+@behave.when('d of term {term:d} requests to join the members')
 def asks_to_be_member(context, term: int):
     row = machine_host.member_row('d')
     context.host.recv('d', 'join', member=row, accepted=(0, 0), term=term)
@@ -145,19 +145,19 @@
     assert not context.host.effects, context.host.effects
 
 
-@behave.given('a master with a proxy that has a lease')
-def master_with_leased_proxy(context):
+@behave.given('a leader with a proxy that has a lease')
+def leader_with_leased_proxy(context):
     context.leader = leader = leading_control_node.LeadingControlNode(PROXY)
     leader.run_with_proxies(2000)
     assert leader.grants
 
 
-def leases_resting_on_later(context) -> list:
-    """The grants whose heartbeat was sent after the change was committed."""
+def leases_for_later_heartbeats(context) -> list:
+    """Return the lease grants whose heartbeat was sent after the change was committed."""
     return [grant for grant in context.leader.grants if grant[2] > context.changed_at]
 
 
-@behave.when('a route changes and the proxy answers heartbeats alone for {duration:d} ms')
+@behave.when('a route changes and the proxy responds only to heartbeats for {duration:d} ms')
 def route_changes(context, duration: int):
     leader = context.leader
     leader.machine.submit(
@@ -169,23 +169,23 @@
     leader.run_with_proxies(duration, stale={PROXY})
 
 
-@behave.then('no lease rests on a heartbeat of after the change')
+@behave.then('no lease is granted for a heartbeat sent after the change')
 def no_lease_after_change(context):
-    assert not leases_resting_on_later(context), leases_resting_on_later(context)
+    assert not leases_for_later_heartbeats(context), leases_for_later_heartbeats(context)
 
 
-@behave.when('the proxy answers everything again for {duration:d} ms')
+@behave.when('the proxy responds to everything again for {duration:d} ms')
 def proxy_answers_again(context, duration: int):
     context.leader.run_with_proxies(duration)
 
 
-@behave.then('a lease rests on a heartbeat of after the change')
+@behave.then('a lease is granted for a heartbeat sent after the change')
 def lease_after_change(context):
-    assert leases_resting_on_later(context)
+    assert leases_for_later_heartbeats(context)
 
 
-def answer_heartbeats(host, node: str, committed=None) -> None:
-    """A node answers the heartbeats of the last input that were sent to it."""
+def respond_to_heartbeats(host, node: str, committed=None) -> None:
+    """Let a node respond to the heartbeats of the last input that were sent to it."""
     for effect in list(host.effects):
         if not isinstance(effect, effects.Send) or effect.address != machine_host.address_of(node):
             continue
@@ -212,24 +212,24 @@
     assert host.machine.mode == 'leader'
 
 
-@behave.when('p answers a heartbeat with what it has committed, and then nothing any more')
+@behave.when('p responds to a heartbeat with its committed version, and to nothing after that')
 def member_answers_once(context):
     host = context.host
-    answer_heartbeats(host, 'p', (3, 9))
-    host.run(500, lambda: answer_heartbeats(host, 'p', (3, 9)))
+    respond_to_heartbeats(host, 'p', (3, 9))
+    host.run(500, lambda: respond_to_heartbeats(host, 'p', (3, 9)))
     assert host.machine.peers['p'].responded_round
 
 
-@behave.when('the first version is in force, and b answers heartbeats for {duration:d} ms')
+@behave.when('the first version is committed, and b responds to heartbeats for {duration:d} ms')
 def first_version_in_force(context, duration: int):
     host, context.grants = context.host, []
-    # Later than the answer of p, by which a lease could rest on it.
+    # The first version is committed later than p's response, so that a lease for that response could be granted.
     host.run(10)
     first = host.machine.replica.accepted
     host.recv('b', 'pub_re', term=host.machine.term, at=first, ok=True, accepted=first)
     assert host.machine.replica.committed == first
 
-    def note_grants():
+    def record_grants():
         sends = [effect for effect in host.effects if isinstance(effect, effects.Send)]
         context.grants += [
             send.frame
@@ -237,12 +237,12 @@
             if send.address == machine_host.address_of('p') and (send.frame['t'] == 'grant' or 'ack' in send.frame)
         ]
 
-    def note_and_answer():
-        note_grants()
-        answer_heartbeats(host, 'b')
-        note_grants()
+    def record_grants_and_respond():
+        record_grants()
+        respond_to_heartbeats(host, 'b')
+        record_grants()
 
-    host.run(duration, note_and_answer)
+    host.run(duration, record_grants_and_respond)
     assert host.machine.mode == 'leader'
 
 
@@ -254,7 +254,7 @@
 # -- operations -----------------------------------------------------------------
 
 
-@behave.given('a leading control node whose voters answer nothing any more')
+@behave.given('a leading control node whose voters have stopped responding')
 def leading_alone(context):
     context.node = node = control_node.ControlNode()
     node.serve()
@@ -267,23 +267,23 @@
         context.node.recv('d', 'ask', key='k.1', op='number.step', args={'name': 'n'})
 
 
-@behave.when('the voters answer again')
+@behave.when('the voters respond again')
 def voters_answer_again(context):
     node = context.node
     node.is_muted = False
-    # What was sent while they were mute is lost; their next answers show what they lack.
+    # Frames that were sent while they were muted are lost; their next responses show which versions they lack.
     node.run(1000)
 
 
-@behave.then('the number has been advanced once, and the request is answered once')
+@behave.then('the number has been advanced once, and the request gets one response')
 def advanced_once(context):
     node = context.node
-    answers = [frame['result'] for frame in node.sent('ask_re', 'd')]
-    assert len(answers) == 1 and answers[0]['status'] == 200, answers
+    responses = [frame['result'] for frame in node.sent('ask_re', 'd')]
+    assert len(responses) == 1 and responses[0]['status'] == 200, responses
     assert node.machine.replica.get('numbers', 'n') == 1, node.machine.replica.get('numbers')
 
 
-@behave.when('it requests an operation, and c answers that it came too late')
+@behave.when('it requests an operation, and c responds that it came too late')
 def answered_as_too_late(context):
     context.results = []
     host = context.host
@@ -292,12 +292,12 @@
     host.recv('c', 'ask_re', key=context.key, result={'status': 503, 'late': True, 'fault': 'late'})
 
 
-@behave.then('the request is still open')
+@behave.then('the request is still pending')
 def request_is_open(context):
     assert not context.results, context.results
 
 
-@behave.when('b answers it with status {status:d}')
+@behave.when('b responds to it with status {status:d}')
 def leader_answers(context, status: int):
     context.host.recv('b', 'ask_re', key=context.key, result={'status': status})
 
@@ -310,31 +310,31 @@
 # -- disks and clusters ---------------------------------------------------------
 
 
-@behave.when("a's disk has room again, and b publishes {version} on {base} in term {term:d}")
+@behave.when("a's disk has space again, and b publishes {version} on {base} in term {term:d}")
 def publishes_after_fault(context, version: str, base: str, term: int):
     context.host.is_disk_full = False
     rows = [['conf', 'pools/x', {'service': 's'}]]
-    context.host.recv('b', 'pub', term=term, at=version_of(version), base=version_of(base), rows=rows)
+    context.host.recv('b', 'pub', term=term, at=parse_version(version), base=parse_version(base), rows=rows)
 
 
-@behave.then('no publication is answered')
+@behave.then('no publication gets a response')
 def no_publication_answered(context):
     assert not context.host.sent('pub_re'), context.host.effects
 
 
-@behave.when('a value in the newest generation is another one')
+@behave.when('a value in the newest version is altered')
 def value_is_changed(context):
     name = storage.version_name((3, 12))
-    # Still a document that can be read, so that the checksum alone shows it.
+    # The document is still well-formed JSON, so that only the checksum detects the change.
     context.files[name] = context.files[name].replace('"k12"', '"k13"')
 
 
-@behave.when('the newest generation holds the one before it')
+@behave.when('the file of the newest version holds the version before it')
 def file_holds_another_version(context):
     context.files[storage.version_name((3, 12))] = context.files[storage.version_name((3, 11))]
 
 
-@behave.given('voter a of a,b,c whose cluster was given up for c2')
+@behave.given('voter a of a,b,c whose cluster was abandoned for c2')
 def cluster_given_up(context):
     files = machine_host.data_folder('a', list('abc'), 3, (3, 9))
     files['retired'] = storage.encode({'for': 'c2'})
@@ -353,14 +353,14 @@
     assert not sent, sent
 
 
-@behave.when('d of cluster c2 tells it that cluster c3 was given up')
+@behave.when('d of cluster c2 notifies it that cluster c3 was abandoned')
 def other_cluster_given_up(context):
     frame = machine_host.frame_from('d', 'retired', {'of': ['c3']})
     context.host.machine.cluster = machine_host.CLUSTER
     context.host.feed('recv', dict(frame, c='c2'))
 
 
-@behave.then('it follows b still')
+@behave.then('it still follows b')
 def follows_still(context):
     machine = context.host.machine
     assert machine.mode == 'follower' and machine.leader['id'] == 'b' and machine.cluster == machine_host.CLUSTER
@@ -370,32 +370,32 @@
 
 
 def digest_of(rows: list) -> str:
-    """The digest of a transfer of these rows."""
+    """Return the digest of a transfer of these rows."""
     return hashlib.sha256(b''.join(json.dumps(row, separators=(',', ':')).encode() for row in rows)).hexdigest()
 
 
 @behave.when('b sends the only chunk of {version} on {base} in term {term:d} with {digest}')
 def chunk_is_sent(context, version: str, base: str, term: int, digest: str):
-    told = digest_of(CHUNK_ROWS if digest == 'its digest' else [])
+    digest_sent = digest_of(CHUNK_ROWS if digest == 'its digest' else [])
     fields = {
-        'at': version_of(version),
-        'base': version_of(base),
+        'at': parse_version(version),
+        'base': parse_version(base),
         'number': 0,
         'rows': CHUNK_ROWS,
         'http': '',
-        'digest': told,
+        'digest': digest_sent,
     }
     context.host.recv('b', 'piece', term=term, **fields)
 
 
-@behave.then('a has accepted {accepted} and answers {answer}')
-def chunk_is_answered(context, accepted: str, answer: str):
-    (response,) = context.host.sent('pub_re')
-    assert response['ok'] is (answer == 'ok'), response
-    assert context.host.machine.replica.accepted == version_of(accepted), context.host.machine.replica.accepted
+@behave.then('a has accepted {accepted} and responds {response}')
+def chunk_is_answered(context, accepted: str, response: str):
+    (frame,) = context.host.sent('pub_re')
+    assert frame['ok'] is (response == 'ok'), frame
+    assert context.host.machine.replica.accepted == parse_version(accepted), context.host.machine.replica.accepted
 
 
 @behave.when('b sends the first of two chunks of {version} on {base} in term {term:d}')
 def first_chunk_is_sent(context, version: str, base: str, term: int):
-    fields = {'at': version_of(version), 'base': version_of(base), 'number': 0, 'rows': CHUNK_ROWS, 'http': ''}
+    fields = {'at': parse_version(version), 'base': parse_version(base), 'number': 0, 'rows': CHUNK_ROWS, 'http': ''}
     context.host.recv('b', 'piece', term=term, **fields)
--- a/features/steps/refusals_storage_steps.py
+++ b/features/steps/refusals_storage_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals.feature that look at the data folder."""
+"""Steps of refusals.feature that check the data folder."""
 
 import dataclasses
 import hashlib
@@ -29,9 +29,9 @@
     carry_out(context, context.host.feed('start'))
 
 
-def carry_out(context, found: list) -> None:
-    """Write what the machine wants written."""
-    for effect in found:
+def carry_out(context, outputs: list) -> None:
+    """Apply the machine's writes to the disk."""
+    for effect in outputs:
         if isinstance(effect, effects.Write | effects.WriteChunk | effects.CommitChunks):
             context.disk.carry_out(effect)
 
--- a/features/steps/second_loss_steps.py
+++ b/features/steps/second_loss_steps.py
@@ -1,4 +1,4 @@
-"""Steps of second_loss.feature: a voter is lost, and a second one soon after: simulated, in virtual time."""
+"""Steps of second_loss.feature: a voter is lost, and soon after a second one, in the simulator."""
 
 import behave
 
@@ -8,8 +8,8 @@
 import zinctrail.simulation.world as world
 
 ms = durations.ms
-RESTART_AWAY = ms(1000)
-# Until a wiped process that is back has been admitted again.
+RESTART_DOWNTIME = ms(1000)
+# The time until a wiped process that has restarted is admitted again.
 CATCH_UP = ms(300)
 
 
@@ -32,25 +32,25 @@
 
 
 def form_for(seed: int, event: str) -> world.World:
-    """Three voters, and a spare where one of them ends."""
-    return voting_world.form(seed, 3, 1 if 'ends' in event else 0)
+    """Form three voters, and a spare if the event is that one of them stops."""
+    return voting_world.form(seed, 3, 1 if 'stops' in event else 0)
 
 
 def victim_of(simulated: world.World, event: str):
-    """The voter that an event befalls: the leader, or one that does not lead."""
-    return voting_world.voters_of(simulated)[0 if 'master' in event else 1]
+    """Return the voter that an event affects: the leader or a follower."""
+    return voting_world.voters_of(simulated)[0 if 'leader' in event else 1]
 
 
-def bring_about(simulated: world.World, event: str, victim) -> None:
-    """Let a voter end for good, or wipe it."""
-    if 'ends' in event:
+def cause_event(simulated: world.World, event: str, victim) -> None:
+    """Stop a voter for good, or wipe it."""
+    if 'stops' in event:
         voting_world.stop_for_good(victim)
     else:
         voting_world.wipe(simulated, victim)
 
 
 def voters_without(simulated: world.World, victim) -> list:
-    """The voters of the newest accepted set that are up, but for one; the leader first if one is known."""
+    """Return the voters of the newest accepted set that are up, except the victim; the leader first if there is one."""
     others = [node for node in simulated.of('core') if node.up and node is not victim]
     newest = max((node.machine for node in others), key=lambda machine: machine.replica.accepted)
     voters = [node for node in others if node.machine.node in newest.voting_set()['accepted']]
@@ -58,13 +58,13 @@
 
 
 def recovery_after_event_ms(seed: int, event: str, delay_ms: int, second: str) -> int | None:
-    """ms from the second loss until a leader commits something; None if none does."""
+    """Return the ms from the second loss until a leader commits something, or None if none does."""
     simulated = form_for(seed, event)
     first_victim = victim_of(simulated, event)
-    bring_about(simulated, event, first_victim)
+    cause_event(simulated, event, first_victim)
     simulated.run(ms(delay_ms))
     voters = voters_without(simulated, first_victim)
-    return voting_world.recovery_time_ms(simulated, [voters[0 if second == 'the master' else -1]])
+    return voting_world.recovery_time_ms(simulated, [voters[0 if second == 'the leader' else -1]])
 
 
 @behave.when('{event}, and {second} loses power {delay:d} ms later, under seeds 1 to 3')
@@ -72,33 +72,33 @@
     context.recoveries_ms = [recovery_after_event_ms(seed, event, delay, second) for seed in voting_world.SEEDS]
 
 
-@behave.then('a master has put something into force within 5 s of the second loss, under each')
+@behave.then('a leader has committed a version within 5 s of the second loss, under each seed')
 def each_recovers(context):
     limit_ms = voting_world.RECOVERY_LIMIT_MS
     assert all(took is not None and took <= limit_ms for took in context.recoveries_ms), context.recoveries_ms
 
 
-def time_to_bear_a_loss_ms(seed: int, event: str) -> int:
-    """ms from the leave's acknowledgement, or the wiped one's return, until one more loss is borne."""
+def time_to_tolerate_a_loss_ms(seed: int, event: str) -> int:
+    """Return the ms from the leave's acknowledgement, or the wiped voter's restart, until one more loss is tolerated."""
     simulated = form_for(seed, event)
     victim = victim_of(simulated, event)
     identity = victim.machine.node
-    bring_about(simulated, event, victim)
-    if 'ends' in event:
+    cause_event(simulated, event, victim)
+    if 'stops' in event:
         assert simulated.run(ms(8000), lambda: victim.machine.graceful_shutdown.released), seed
     else:
-        simulated.run(voting_world.WIPED_AWAY)
+        simulated.run(voting_world.WIPE_DOWNTIME)
     start = simulated.now
-    assert simulated.run(ms(20000), lambda: voting_world.can_bear_a_loss(simulated, identity)), seed
+    assert simulated.run(ms(20000), lambda: voting_world.tolerates_a_loss(simulated, identity)), seed
     return durations.to_ms(simulated.now - start)
 
 
-@behave.when('{event}, under seeds 1 to {last:d}, until one more loss is borne')
-def event_until_a_loss_is_borne(context, event: str, last: int):
-    context.times_ms = sorted(time_to_bear_a_loss_ms(seed, event) for seed in range(1, last + 1))
+@behave.when('{event}, under seeds 1 to {last:d}, until one more loss is tolerated')
+def event_until_a_loss_is_tolerated(context, event: str, last: int):
+    context.times_ms = sorted(time_to_tolerate_a_loss_ms(seed, event) for seed in range(1, last + 1))
 
 
-@behave.then('that took 300 ms at most, under each')
+@behave.then('that took 300 ms at most, under each seed')
 def took_at_most(context):
     assert context.times_ms[-1] <= 300, context.times_ms
 
@@ -107,13 +107,13 @@
 
 
 class VotingSetSteps:
-    """Counts the steps of the voting set that are committed: each change is two, joint and new."""
+    """Counts committed steps of the voting set: each change has two, the joint set and the new set."""
 
     def __init__(self, simulated: world.World):
         self.world, self.count, self.last = simulated, 0, voting_world.voting_set(simulated)
 
-    def look(self) -> bool:
-        """Count a step that was committed since the last look; False, as a condition that never ends a run."""
+    def count_step(self) -> bool:
+        """Count a step that was committed since the last call; always False, as a condition that never ends a run."""
         newest = max(
             (node for node in self.world.of('core') if node.up), key=lambda node: node.machine.replica.committed
         )
@@ -124,16 +124,16 @@
 
 
 def rolling_restart(seed: int, voters: int, spares: int) -> tuple[int, int]:
-    """(steps of the voting set, restarts) while each control node is stopped and started with its disk."""
+    """Restart each control node with its disk; return (steps of the voting set, restarts)."""
     simulated = voting_world.form(seed, voters, spares)
     steps = VotingSetSteps(simulated)
     nodes = list(simulated.of('core'))
     for node in nodes:
         node.feed('stop')
-        assert simulated.run(ms(10000), lambda node=node: steps.look() or not node.up), node.name
-        simulated.run(RESTART_AWAY, steps.look)
+        assert simulated.run(ms(10000), lambda node=node: steps.count_step() or not node.up), node.name
+        simulated.run(RESTART_DOWNTIME, steps.count_step)
         node.start()
-        simulated.run(ms(6000), steps.look)
+        simulated.run(ms(6000), steps.count_step)
     return steps.count, len(nodes)
 
 
@@ -142,7 +142,7 @@
     context.restarts = [rolling_restart(seed, voters, cores - voters) for seed in voting_world.SEEDS]
 
 
-@behave.then('the voting set took {most:d} steps at most for each restart')
+@behave.then('the voting set took at most {most:d} steps for each restart')
 def steps_for_each_restart(context, most: int):
     assert all(steps <= most * restarts for steps, restarts in context.restarts), context.restarts
 
@@ -150,17 +150,17 @@
 # -- losses of a running cluster -------------------------------------------------------
 
 
-@behave.when('two that do not lead are wiped at once and are back after 800 ms, empty')
+@behave.when('two followers are wiped at once and return empty after 800 ms')
 def two_are_wiped(context):
     context.wiped = {}
     for simulated in context.worlds:
         context.wiped[simulated] = voting_world.voters_of(simulated)[1:3]
         for node in context.wiped[simulated]:
             voting_world.wipe(simulated, node)
-        simulated.run(voting_world.WIPED_AWAY + CATCH_UP)
+        simulated.run(voting_world.WIPE_DOWNTIME + CATCH_UP)
 
 
-@behave.then('two more that were never wiped may lose power one after the other, 3 s apart')
+@behave.then('the cluster survives the power loss of two more that were never wiped, 3 s apart')
 def two_more_may_be_lost(context):
     for simulated in context.worlds:
         for _ in range(2):
@@ -178,18 +178,18 @@
         node.feed('settings', location, simulated.settings)
 
 
-@behave.when('the seeds of all are swapped while a voter ends for good and one more control node starts')
+@behave.when('the seeds of all are replaced while a voter stops for good and a new control node starts')
 def voter_is_replaced_and_seeds_change(context):
     for simulated in context.worlds:
-        leaver = voting_world.voters_of(simulated)[1]
-        seeds = [node.location.addr for node in simulated.of('core') if node is not leaver]
+        leaving_voter = voting_world.voters_of(simulated)[1]
+        seeds = [node.location.addr for node in simulated.of('core') if node is not leaving_voter]
         change_seeds(simulated, seeds)
-        voting_world.stop_for_good(leaver)
-        simulated.add('late', 'core', leaver.location.cell, seeds).start()
+        voting_world.stop_for_good(leaving_voter)
+        simulated.add('late', 'core', leaving_voter.location.cell, seeds).start()
         simulated.run(ms(1500))
 
 
-@behave.then('a second and, 3 s later, a third voter may lose power')
+@behave.then('the cluster survives the power loss of a second voter and, 3 s later, of a third')
 def two_leaders_may_be_lost(context):
     for simulated in context.worlds:
         for _ in range(2):
@@ -197,7 +197,7 @@
             simulated.run(voting_world.BETWEEN_LOSSES)
 
 
-@behave.when('a voter ends for good and the spare loses power {delay:d} ms later')
+@behave.when('a voter stops for good and the spare loses power {delay:d} ms later')
 def spare_is_lost_as_it_joins(context, delay: int):
     for simulated in context.worlds:
         voting_world.stop_for_good(voting_world.voters_of(simulated)[1])
@@ -205,7 +205,7 @@
         voting_world.lose_power_for_good(simulated.nodes['spare0'])
 
 
-@behave.then('a master goes on, three vote, and a new control node takes a place that is free')
+@behave.then('a leader remains, three vote, and a new control node becomes a voter')
 def new_node_becomes_voter(context):
     for simulated in context.worlds:
         simulated.run(ms(3000))
@@ -213,8 +213,8 @@
         assert simulated.leader() and len(current['accepted']) == 3, (simulated.seed, current)
         late = simulated.add('late', 'core', 'r0/c0', simulated.nodes['dir0'].location.seeds)
         late.start()
-        can_bear = simulated.run(
-            ms(6000), lambda simulated=simulated: voting_world.can_bear_a_loss(simulated, without='')
+        has_recovered = simulated.run(
+            ms(6000), lambda simulated=simulated: voting_world.tolerates_a_loss(simulated, without='')
         )
-        assert can_bear, (simulated.seed, voting_world.voting_set(simulated))
+        assert has_recovered, (simulated.seed, voting_world.voting_set(simulated))
         assert late.machine.node in voting_world.voting_set(simulated)['accepted']
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -14,20 +14,20 @@
 import zinctrail.transport.peer_connections as peer_connections
 
 FRAME_LIMIT_BYTES = 100000
-SLOWER_PACE_MS = 400
+NORMAL_INTERVAL_MS = 400
 
 
-@behave.given('{count:d} proxies that all have the same generation, and one that has none')
+@behave.given('{count:d} proxies that all have the same version, and one that has none')
 def proxies_at_one_version(context, count: int):
     context.proxy_count = count
     context.host = host = leading_control_node.LeadingControlNode(count + 1)
     host.run_with_proxies(1000, silent={count + 1})
     assert len(host.machine.peers) == count + 1, len(host.machine.peers)
-    # A leader assumes that what it sent arrives, until it learns otherwise.
+    # A leader assumes that what it sent has arrived until it learns otherwise.
     host.machine.peers[f'p{count + 1}'].sent_version = None
 
 
-@behave.given('the proxies speak the wire level before')
+@behave.given('the proxies use the previous wire level')
 def proxies_speak_earlier_level(context):
     for peer in context.host.machine.peers.values():
         peer.level = 1
@@ -43,7 +43,7 @@
     host.machine.submit(step, lambda result: None)
 
 
-@behave.when('the master publishes a change of the routes')
+@behave.when('the leader publishes a change of the routes')
 def routes_are_published(context):
     host = context.host
     assert not host.machine.leadership.replication.in_flight
@@ -52,7 +52,7 @@
     context.publications = [send for send in sends if send.frame['t'] == 'pub']
 
 
-@behave.then('those at the same generation are sent one and the same frame')
+@behave.then('those at the same version are sent one and the same frame')
 def same_version_gets_same_frame(context):
     rows = [send for send in context.publications if 'rows' in send.frame]
     full = [send for send in context.publications if 'full' in send.frame]
@@ -60,8 +60,8 @@
     assert len({id(send.frame) for send in rows}) == 1
 
 
-@behave.then('the wire writes it out once, and packs it')
-def frame_is_packed_once(context):
+@behave.then('the connections encode it once, and compress it')
+def frame_is_compressed_once(context):
     connections = peer_connections.PeerConnections(task.Clock(), FRAME_LIMIT_BYTES, None, None)
     frame = next(send.frame for send in context.publications if 'rows' in send.frame)
     first = connections.encoded(frame, True)
@@ -71,8 +71,8 @@
     assert connections.encoded(frame, False)[:1] == b'{'
 
 
-@behave.then('none of the frames for them may be packed')
-def frames_are_not_packed(context):
+@behave.then('none of the frames for them may be compressed')
+def frames_are_not_compressed(context):
     assert len(context.publications) == context.proxy_count + 1 and not any(
         send.may_compress for send in context.publications
     )
@@ -90,14 +90,14 @@
     context.end.makeConnection(context.transport)
 
 
-@behave.when('a packed frame comes that is {state}')
-def packed_frame_comes(context, state: str):
+@behave.when('a compressed frame arrives that is {state}')
+def compressed_frame_arrives(context, state: str):
     size = FRAME_LIMIT_BYTES + 10 if 'above' in state else 5000
     data = zlib.compress(json.dumps({'t': 'chk', 'x': 'y' * size}).encode(), 1)
     data = {
         'cut short': data[:-3],
-        'followed by more': data + b'more',
-        'flipped in a byte': data[:9] + bytes([data[9] ^ 255]) + data[10:],
+        'followed by more bytes': data + b'more',
+        'altered in a byte': data[:9] + bytes([data[9] ^ 255]) + data[10:],
     }.get(state, data)
     context.end.dataReceived(b'%d:%s,' % (len(data), data))
 
@@ -110,7 +110,7 @@
         assert not context.read and context.transport.disconnecting
 
 
-@behave.given('a master with {count:d} proxies that follow it')
+@behave.given('a leader with {count:d} proxies that follow it')
 def leader_with_followers(context, count: int):
     context.proxy_count = count
     context.host = leading_control_node.LeadingControlNode(count)
@@ -124,7 +124,7 @@
     context.host.run_with_proxies(1000 * seconds)
 
 
-@behave.then('each proxy is checked about every {interval_ms:d} ms')
+@behave.then('each proxy is sent a heartbeat about every {interval_ms:d} ms')
 def heartbeat_interval_is_kept(context, interval_ms: int):
     host = context.host
     expected = durations.to_ms(host.now - context.since) / interval_ms
@@ -133,44 +133,44 @@
         assert abs(count - expected) <= 1.5, (index, count, expected)
 
 
-@behave.then('none of them is without a lease for a moment')
+@behave.then('none of them is ever without a lease')
 def leases_are_never_missing(context):
     host = context.host
     for index in range(1, context.proxy_count + 1):
         until = None
-        for time, _, stamp, _ in (grant for grant in host.grants if grant[1] == index):
+        for time, _, heartbeat_sent_at, _ in (grant for grant in host.grants if grant[1] == index):
             assert until is None or time < until, (index, time, until)
-            until = max(until or durations.ZERO, stamp + host.machine.settings.lease)
+            until = max(until or durations.ZERO, heartbeat_sent_at + host.machine.settings.lease)
         assert until > host.now, (index, until)
 
 
-@behave.then('grants of their own are {expected}')
+@behave.then('separate lease grants are {expected}')
 def separate_grants_are(context, expected: str):
     separate = [is_piggybacked for _, _, _, is_piggybacked in context.host.grants if not is_piggybacked]
     assert (len(separate) > 0) == (expected == 'sent'), len(separate)
 
 
-@behave.when('proxy {index:d} is silent from now on')
+@behave.when('proxy {index:d} stops responding')
 def proxy_falls_silent(context, index: int):
     context.since = context.host.now
     context.silent_proxy = index
 
 
-@behave.then('within {most_ms:d} ms it is no member any more')
+@behave.then('within {most_ms:d} ms it is removed from the members')
 def silent_proxy_is_dropped(context, most_ms: int):
     context.host.run_with_proxies(most_ms, silent={context.silent_proxy})
     members = context.host.machine.replica.get('members')
     assert f'p{context.silent_proxy}' not in members and len(members) == context.proxy_count, len(members)
 
 
-@behave.then('no lease that proxy {index:d} was given outlasts its last answer by more than {most_ms:d} ms')
+@behave.then('no lease granted to proxy {index:d} outlasts its last response by more than {most_ms:d} ms')
 def leases_rest_on_answers(context, index: int, most_ms: int):
     times = [time for time, proxy in context.host.heartbeats if proxy == index]
     last = max(time for time in times if time <= context.since)
-    assert all(stamp <= last for _, proxy, stamp, _ in context.host.grants if proxy == index)
+    assert all(heartbeat_sent_at <= last for _, proxy, heartbeat_sent_at, _ in context.host.grants if proxy == index)
 
 
-@behave.when('the routes change and proxy {index:d} never says that it applied them')
+@behave.when('the routes change and proxy {index:d} never reports that it applied them')
 def proxy_never_applies_change(context, index: int):
     host = context.host
     context.silent_proxy, context.since = index, host.now
@@ -180,17 +180,23 @@
     host.run_with_proxies(6000, stale={index})
 
 
-@behave.then('no grant to proxy {index:d} rests on an answer from after the change')
+@behave.then('no grant to proxy {index:d} is based on a response from after the change')
 def grants_rest_on_earlier_answers(context, index: int):
-    # The response counts: a lease runs from there, so that it ends one lease after the change at the latest.
+    # A lease runs from the time of the response, so that the last one ends at most one lease after the change.
     grants = context.host.grants
-    assert any(proxy != index and stamp > context.since for _, proxy, stamp, _ in grants)
+    assert any(proxy != index and heartbeat_sent_at > context.since for _, proxy, heartbeat_sent_at, _ in grants)
     latest = context.since + durations.ms(1)
-    late = [(proxy, stamp) for _, proxy, stamp, _ in grants if proxy == index and stamp > latest]
+    late = [
+        (proxy, heartbeat_sent_at)
+        for _, proxy, heartbeat_sent_at, _ in grants
+        if proxy == index and heartbeat_sent_at > latest
+    ]
     assert not late, late[:3]
 
 
-@behave.when('it answers check 7, and b leads again in the next term and grants check 7 without having asked')
+@behave.when(
+    'it responds to heartbeat 7, and b leads again in the next term and grants a lease for heartbeat 7 without having sent it'
+)
 def grant_comes_from_next_term(context):
     host = context.host
     host.recv('b', 'chk', to=host.machine.node, term=host.machine.term, round=7)
@@ -199,21 +205,23 @@
     host.recv('b', 'grant', term=host.machine.term, ack=7)
 
 
-@behave.then('it has no lease from that')
+@behave.then('it is granted no lease')
 def proxy_has_no_lease_from_grant(context):
     assert not context.host.machine.has_lease()
 
 
-@behave.when('a day of {faults} with the shape of many runs under seed {seed:d}')
-def day_of_shape_runs(context, faults: str, seed: int):
-    context.day = days.Day(seed, faults.split(','), 'many', durations.ms(15000)).run()
+@behave.when('a scenario of {faults} with the shape of many runs under seed {seed:d}')
+def scenario_of_shape_runs(context, faults: str, seed: int):
+    context.finished_run = days.Day(seed, faults.split(','), 'many', durations.ms(15000)).run()
 
 
-@behave.then('nothing that must never happen happened in it')
-def day_has_no_violation(context):
-    machines = [node.machine for node in context.day.world.of('core')]
-    paces = [
+@behave.then('no checker found a violation in it')
+def scenario_has_no_violation(context):
+    machines = [node.machine for node in context.finished_run.world.of('core')]
+    intervals = [
         machine.leadership.heartbeats.interval_for(peer) for machine in machines for peer in machine.peers.values()
     ]
-    assert any(durations.to_ms(pace) > SLOWER_PACE_MS for pace in paces), 'nobody went at the slower pace'
-    assert not context.day.verdicts(), context.day.verdicts()
+    assert any(durations.to_ms(interval) > NORMAL_INTERVAL_MS for interval in intervals), (
+        'no member was at the slower heartbeat interval'
+    )
+    assert not context.finished_run.verdicts(), context.finished_run.verdicts()
--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -1,4 +1,4 @@
-"""Catching up over slow links, in the simulator of simulation.catch_up."""
+"""Steps of snapshots.feature: catching up over slow links, in the simulator of simulation.catch_up."""
 
 import itertools
 import json
@@ -18,10 +18,10 @@
 FOLLOWER = 'follower'
 
 
-def started(context):
-    """The rig, started once all that the scenario asks for is in it."""
-    if not context.started:
-        context.started = True
+def started_rig(context):
+    """Return the rig, and start it at the first call, when the scenario has added all members."""
+    if not context.started_rig:
+        context.started_rig = True
         assert context.rig.start(), 'nobody leads'
         follower = context.rig.world.nodes.get(FOLLOWER)
         if follower is not None:
@@ -29,9 +29,9 @@
     return context.rig
 
 
-def behind(context):
-    """The voter that is to catch up: the last one, unless it leads."""
-    return started(context).last_follower()
+def voter_to_catch_up(context):
+    """Return the voter that is to catch up: the last one, unless it leads."""
+    return started_rig(context).last_follower()
 
 
 @behave.given('three voters that hold {routes:d} routes, with frames of {kilobytes:d} KB at most')
@@ -40,7 +40,7 @@
     context.rig = catch_up.CatchUp(size, bound=settings.Settings(frame_most=kilobytes << 10))
     context.rig.world.compresses = False
     context.state_bytes = len(json.dumps(context.rig.state))
-    context.started = False
+    context.started_rig = False
     context.lost = None
 
 
@@ -49,18 +49,18 @@
     context.rig.add(FOLLOWER, scale_state.process_address(77), machine_class=catch_up.Follower)
 
 
-@behave.given('the third voter is of a release that reads no pieces')
+@behave.given('the third voter is of a release that does not read chunks')
 def third_voter_of_earlier_release(context):
     context.rig.nodes[-1].machine_class = catch_up.OlderVoter
     for node in context.rig.nodes[:-1]:
-        # It is to lead none of these, so that the newer ones send and it receives.
+        # The older voter must not become leader, so that the newer ones send and it receives.
         node.first = True
 
 
-def come_back(context, mbit: int, missed: int) -> None:
-    """Let a voter be back over a slow link: after so many changes, or empty where there were none."""
-    rig = started(context)
-    node = context.node = behind(context)
+def return_over_slow_link(context, mbit: int, missed: int) -> None:
+    """Restart a voter over a slow link: `missed` changes behind, or with an empty disk if that is 0."""
+    rig = started_rig(context)
+    node = context.node = voter_to_catch_up(context)
     if missed:
         rig.power_down(node)
         rig.commit_changes(missed)
@@ -70,24 +70,24 @@
     rig.world.run(durations.ms(3000))
     rig.slow_link(node.name, mbit)
     context.before = dict(rig.counts())
-    context.piece_bytes_before = rig.world.bytes.get('piece', 0)
+    context.chunk_bytes_before = rig.world.bytes.get('piece', 0)
     context.since = rig.world.now
     rig.largest_frame = 0
     rig.change_every(durations.ms(200))
     node.start()
 
 
-@behave.when('a voter is back empty over {mbit:d} Mbit/s while changes go on')
+@behave.when('a voter returns empty over {mbit:d} Mbit/s while changes are made')
 def voter_returns_empty(context, mbit: int):
-    come_back(context, mbit, 0)
+    return_over_slow_link(context, mbit, 0)
 
 
-@behave.when('a voter is back after {missed:d} changes over {mbit:d} Mbit/s while changes go on')
+@behave.when('a voter returns after {missed:d} changes over {mbit:d} Mbit/s while changes are made')
 def voter_returns_after_changes(context, missed: int, mbit: int):
-    come_back(context, mbit, missed)
+    return_over_slow_link(context, mbit, missed)
 
 
-@behave.then('it has caught up within {limit:d} s, and holds what the master holds')
+@behave.then("it has caught up within {limit:d} s, and holds the leader's state")
 def voter_has_caught_up(context, limit: int):
     rig = context.rig
     assert rig.world.run(durations.ms(limit * 1000), until=lambda: rig.has_caught_up(context.node)), (
@@ -113,10 +113,10 @@
     assert 0 < context.rig.largest_frame <= kilobytes * 1024, context.rig.largest_frame
 
 
-@behave.then('it was never without a heartbeat for {most:d} ms, and never dropped')
+@behave.then('it was never without a heartbeat for {most:d} ms, and never removed')
 def heartbeats_go_on(context, most: int):
     times = [time for time in context.rig.heartbeats[context.node.name] if time > context.since]
-    # Before its first it was not known to be back.
+    # The time before its first heartbeat does not count: the leader did not know yet that it had restarted.
     gaps = [durations.to_ms(later - earlier) for earlier, later in itertools.pairwise(times)]
     assert len(gaps) > 2 and max(gaps) < most, gaps
     member = f'Member {context.node.machine.node}'
@@ -124,40 +124,40 @@
     assert not [text for text in lines if member in text and 'removed:' in text]
 
 
-@behave.then('the bytes of pieces sent are at most {times:g} times those of the state')
-def piece_bytes_are_bounded(context, times: float):
-    sent = context.rig.world.bytes.get('piece', 0) - context.piece_bytes_before
+@behave.then('the bytes of chunks sent are at most {times:g} times those of the state')
+def chunk_bytes_are_bounded(context, times: float):
+    sent = context.rig.world.bytes.get('piece', 0) - context.chunk_bytes_before
     assert sent <= times * context.state_bytes, (sent, context.state_bytes)
 
 
-@behave.then('no whole state was sent')
-def no_whole_state_is_sent(context):
+@behave.then('no full state was sent')
+def no_full_state_is_sent(context):
     counts = context.rig.counts()
     assert counts['full'] == context.before.get('full', 0), (counts, context.before)
 
 
-@behave.then('it was sent no pieces')
-def no_pieces_are_sent(context):
+@behave.then('it was sent no chunks')
+def no_chunks_are_sent(context):
     assert context.rig.world.bytes.get('piece', 0) == 0
 
 
-@behave.when('it is cut off for 3 s once it has 8 pieces')
+@behave.when('it is cut off for 3 s once it has 8 chunks')
 def voter_is_cut_off(context):
     rig, node = context.rig, context.node
-    assert rig.world.run(durations.ms(20000), until=lambda: has_pieces(node, 8))
+    assert rig.world.run(durations.ms(20000), until=lambda: has_chunks(node, 8))
     rig.world.isolate(node.name)
     rig.world.run(durations.ms(3000))
     rig.world.heal()
 
 
-def has_pieces(node, number: int) -> bool:
-    """Whether a node has received so many pieces of a transfer that goes on."""
+def has_chunks(node, number: int) -> bool:
+    """True if a node has received this number of chunks of a transfer in progress."""
     incoming = node.machine.version_receiver.incoming
     return incoming is not None and incoming.received >= number
 
 
-@behave.then('at most {most:d} pieces were sent twice')
-def few_pieces_are_sent_twice(context, most: int):
+@behave.then('at most {most:d} chunks were sent twice')
+def few_chunks_are_sent_twice(context, most: int):
     rig = context.rig
     sent = rig.counts()['pieces'] - context.before.get('pieces', 0)
     needed = context.state_bytes / chunked_transfer.CHUNK_BYTES
@@ -169,41 +169,41 @@
     context.rig.world.loss = 0.1
 
 
-@behave.when('it is led again over 2 Mbit/s by another master after 8 pieces')
-def another_leader_sends_pieces(context):
-    rig = started(context)
+@behave.when('its leader is replaced after it received 8 chunks over 2 Mbit/s')
+def another_leader_sends_chunks(context):
+    rig = started_rig(context)
     node = context.node = rig.world.nodes[FOLLOWER]
     rig.slow_link(FOLLOWER, 2)
-    assert rig.world.run(durations.ms(20000), until=lambda: has_pieces(node, 8))
+    assert rig.world.run(durations.ms(20000), until=lambda: has_chunks(node, 8))
     rig.leader().kill(power=True)
 
 
-@behave.when("all have caught up and the master's machine lose their power, and start again")
+@behave.when("all have caught up and the leader's machine lose their power, and start again")
 def leader_loses_power(context):
-    lose(context, lambda rig: [rig.leader()])
+    restart_after_power_loss(context, lambda rig: [rig.leader()])
 
 
 @behave.when('all have caught up and all voters lose their power, and start again')
 def all_voters_lose_power(context):
-    lose(context, lambda rig: rig.nodes)
+    restart_after_power_loss(context, lambda rig: rig.nodes)
 
 
 @behave.when('all have caught up and all voters, one of them 20 changes ago lose their power, and start again')
 def voters_lose_power_one_earlier(context):
-    lose(context, lambda rig: rig.nodes, earlier=20)
+    restart_after_power_loss(context, lambda rig: rig.nodes, earlier=20)
 
 
-def lose(context, who, earlier: int = 0) -> None:
-    """Let machines lose their power once all have caught up; one voter so many changes earlier."""
-    rig = started(context)
+def restart_after_power_loss(context, select_nodes, earlier: int = 0) -> None:
+    """Cut machines' power once all have caught up, then restart them; one voter loses it `earlier` changes before."""
+    rig = started_rig(context)
     follower = rig.world.nodes[FOLLOWER]
     assert rig.world.run(durations.ms(20000), until=lambda: rig.has_caught_up(follower))
-    # As after the checkpoint that a voter's folder begins with.
+    # A voter's folder also begins with a snapshot.
     for node in rig.nodes:
         write_snapshot(node)
-    lost = list(who(rig))
+    lost = list(select_nodes(rig))
     if earlier:
-        first = behind(context)
+        first = voter_to_catch_up(context)
         first.kill(power=True)
         rig.commit_changes(earlier)
     for node in lost:
@@ -241,7 +241,7 @@
 
 
 class Receiver:
-    """A follower that is sent pieces by hand."""
+    """A follower that the scenario sends chunks to."""
 
     def __init__(self):
         location = node_location.NodeLocation('10.0.0.9:1000', '10.0.0.9:80', 'r0/z0', [])
@@ -254,7 +254,7 @@
             self.number += 1
 
     def send(self, number: int, content=None, rows: list | None = None) -> None:
-        """Send a piece of the state or of other content, with its rows or others."""
+        """Send a chunk of the state or of other content, with its own rows or others."""
         content = content or self.content
         frame = {
             't': 'piece',
@@ -274,40 +274,40 @@
         self.machine.feed('recv', durations.ms(10), json.loads(json.dumps(frame)))
 
     def send_all(self, but: tuple[int, ...] = (), times: int = 1) -> None:
-        """Send all pieces in order, except some."""
+        """Send all chunks in order, except some."""
         for number in range(self.number):
             for _ in range(0 if number in but else times):
                 self.send(number)
 
 
-@behave.given('a follower that is sent a state in {pieces:d} pieces')
-def follower_that_is_sent_pieces(context, pieces: int):
+@behave.given('a follower that is sent a state in {chunks:d} chunks')
+def follower_that_is_sent_chunks(context, chunks: int):
     context.receiver = Receiver()
-    assert context.receiver.number == pieces, context.receiver.number
+    assert context.receiver.number == chunks, context.receiver.number
 
 
-@behave.when('all come in order')
-def pieces_come_in_order(context):
+@behave.when('all arrive in order')
+def chunks_arrive_in_order(context):
     context.receiver.send_all()
 
 
-@behave.when('all but the last come')
-def last_piece_is_missing(context):
+@behave.when('all but the last arrive')
+def last_chunk_is_missing(context):
     context.receiver.send_all(but=(context.receiver.number - 1,))
 
 
 @behave.when('one of them is missing')
-def middle_piece_is_missing(context):
+def middle_chunk_is_missing(context):
     context.receiver.send_all(but=(2,))
 
 
-@behave.when('each comes twice')
-def pieces_come_twice(context):
+@behave.when('each arrives twice')
+def chunks_arrive_twice(context):
     context.receiver.send_all(times=2)
 
 
-@behave.when('a row of one is another')
-def row_of_piece_differs(context):
+@behave.when('a row of one is altered')
+def row_of_chunk_differs(context):
     receiver = context.receiver
     for number in range(receiver.number):
         rows = [list(row) for row in receiver.content.chunk(number)]
@@ -316,13 +316,13 @@
         receiver.send(number, rows=rows)
 
 
-@behave.when('the last comes first')
-def last_piece_comes_first(context):
+@behave.when('the last arrives first')
+def last_chunk_arrives_first(context):
     context.receiver.send(context.receiver.number - 1)
 
 
-@behave.when("the first come again after another state's")
-def pieces_of_other_state_come_between(context):
+@behave.when("the first arrive again after another state's")
+def chunks_of_other_state_arrive_between(context):
     receiver = context.receiver
     other = chunked_transfer.Content.full_state(
         (3, 39), scale_state.state_tables(sizes.Size(routes=400, cores=3, dirs=0, nodes=0))
@@ -346,23 +346,23 @@
     assert not context.receiver.machine.replica.full_state()
 
 
-@behave.when('its power fails in the write of what came in pieces')
+@behave.when('its power fails in the write of the received chunks')
 def power_fails_in_write(context):
     rig, node = context.rig, context.node
-    context.answers = []
+    context.responses = []
     deliver = rig.world.on_deliver
 
-    def note_answer(source, target, text):
+    def record_response(source, target, text):
         deliver(source, target, text)
         if source is node and json.loads(text)['t'] == 'pub_re':
-            context.answers.append(text)
+            context.responses.append(text)
 
-    rig.world.on_deliver = note_answer
+    rig.world.on_deliver = record_response
     rig.world.die_in_write = lambda writer, effect: writer is node and isinstance(effect, effects.CommitChunks)
     assert rig.world.run(durations.ms(20000), until=lambda: not node.up)
     rig.world.run(durations.ms(1000))
 
 
-@behave.then('its vote for the transfer never left')
-def vote_never_left(context):
-    assert context.answers == [], context.answers
+@behave.then('its acceptance of the transfer was never sent')
+def acceptance_was_never_sent(context):
+    assert context.responses == [], context.responses
--- a/features/steps/unformed_steps.py
+++ b/features/steps/unformed_steps.py
@@ -1,4 +1,4 @@
-"""Steps of unformed.feature: control nodes whose own cluster never formed, because another one did."""
+"""Steps of unformed.feature: control nodes whose own cluster never formed because another cluster did."""
 
 import behave
 
@@ -8,69 +8,71 @@
 import zinctrail.simulation.world as world
 
 ms = durations.ms
-# The rounds of the same view that a control node has seen just before it forms its cluster.
+# The rounds with an unchanged view that a control node has counted just before it forms its cluster.
 ROUNDS_BEFORE_FORMING = 3
 
 
 def is_about_to_form(node) -> bool:
-    """Whether a control node forms a cluster in its next round."""
+    """True if a control node forms a cluster in its next round."""
     return node.machine.bootstrap.stable_rounds == ROUNDS_BEFORE_FORMING
 
 
 def has_proposed(node) -> bool:
-    """Whether a control node has proposed a cluster, which it forms once the promises have reached it."""
+    """True if a control node has proposed a cluster, which it forms once it has received the promises."""
     return node.machine.formation.proposal is not None
 
 
-MOMENTS = {'in the round before it forms': is_about_to_form, 'once it has proposed its cluster': has_proposed}
+MOMENTS = {'in the round before it forms': is_about_to_form, 'after it has proposed its cluster': has_proposed}
 
 
-def start_with_frozen_node(seed, length_ms, has_come):
-    """(world, node): a start whose node that forms the cluster is frozen once a moment has come for it."""
+def start_with_frozen_node(seed, length_ms, is_at_moment):
+    """Return (world, node) of a first start whose forming node is frozen once it satisfies a condition."""
     small_world = world.World(seed)
     client_deployment.Deployment(small_world, deployments.PRESETS['small'])
     for node in small_world.nodes.values():
         small_world.after(ms(small_world.rng.uniform(0, 300)), node.start)
     small_world.run(ms(301))
-    former = min(small_world.of('core'), key=lambda node: node.machine.node)
-    assert small_world.run(ms(20000), lambda: has_come(former)), seed
-    former.pause(ms(length_ms))
-    return small_world, former
+    forming_node = min(small_world.of('core'), key=lambda node: node.machine.node)
+    assert small_world.run(ms(20000), lambda: is_at_moment(forming_node)), seed
+    forming_node.pause(ms(length_ms))
+    return small_world, forming_node
 
 
 def has_abandoned_cluster(node):
-    """Whether a node has logged that it gives its own cluster up."""
+    """True if a node has logged that it abandons its own cluster."""
     return any(fields and fields['event'] == 'abandon' for _, _, fields in node.log_records)
 
 
-@behave.given('a small start whose former is frozen for {length:d} ms {moment}')
+@behave.given('a small first start whose forming node is frozen for {length:d} ms {moment}')
 def start_frozen(context, length: int, moment: str):
     context.starts = [start_with_frozen_node(seed, length, MOMENTS[moment]) for seed in range(1, 5)]
 
 
-@behave.when('30 s have gone by')
+@behave.when('30 s have passed')
 def wait_30_s(context):
     for small_world, _ in context.starts:
         small_world.run(ms(30000))
 
 
-@behave.when('it has given its own cluster up it is {how}, and 30 s have gone by')
-def interrupt_after_giving_up(context, how: str):
-    for small_world, former in context.starts:
-        assert small_world.run(ms(30000), lambda former=former: has_abandoned_cluster(former)), small_world.seed
+@behave.when('it has abandoned its own cluster, it is {how}, and 30 s have passed')
+def interrupt_after_abandoning(context, how: str):
+    for small_world, forming_node in context.starts:
+        assert small_world.run(ms(30000), lambda forming_node=forming_node: has_abandoned_cluster(forming_node)), (
+            small_world.seed
+        )
         if 'next write' in how:
-            small_world.die_in_write = lambda node, effect, former=former: node is former
-            assert small_world.run(ms(5000), lambda former=former: not former.up), small_world.seed
+            small_world.die_in_write = lambda node, effect, forming_node=forming_node: node is forming_node
+            assert small_world.run(ms(5000), lambda forming_node=forming_node: not forming_node.up), small_world.seed
             small_world.die_in_write = None
         else:
-            former.kill(power='power' in how)
-        former.start()
+            forming_node.kill(power='power' in how)
+        forming_node.start()
         small_world.run(ms(30000))
 
 
-@behave.then('one cluster leads, and all three control nodes vote in it')
+@behave.then('one cluster remains, and all three control nodes vote in it')
 def one_cluster_leads(context):
-    for small_world, former in context.starts:
+    for small_world, forming_node in context.starts:
         cores = small_world.of('core')
         assert len({node.machine.cluster for node in cores}) == 1, (
             small_world.seed,
@@ -80,11 +82,11 @@
         assert voting_set['committed'] == voting_set['accepted'] == sorted(node.machine.node for node in cores), (
             small_world.seed,
             voting_set,
-            former.name,
+            forming_node.name,
         )
 
 
-@behave.given('a control node whose own cluster has had a term')
+@behave.given('a control node whose own cluster has reached a term above 0')
 def lone_control_node(context):
     small_world = world.World(1)
     node = small_world.add('core0', 'core', 'r0/c0')
@@ -95,7 +97,7 @@
     context.node = node
 
 
-@behave.when('a node of another cluster answers its probe with a leader')
+@behave.when('a node of another cluster responds to its probe and names a leader')
 def answer_probe_from_another(context):
     machine = context.node.machine
     context.cluster = machine.cluster
@@ -117,6 +119,6 @@
     )
 
 
-@behave.then('it stays in its own')
+@behave.then('it stays in its own cluster')
 def stays_in_its_cluster(context):
     assert context.node.machine.cluster == context.cluster and context.node.machine.mode == 'leader'
--- a/features/steps/voter_leaving_steps.py
+++ b/features/steps/voter_leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of second_loss.feature: a voter leaves, and what the leader and the operators' command tell of it."""
+"""Steps of second_loss.feature: a voter leaves, and the leader and zinctrailctl report the losses tolerated."""
 
 import contextlib
 import io
@@ -21,41 +21,41 @@
 
 @behave.when('a voter is told to stop')
 def voter_is_stopped(context):
-    # By world: the leaver, and the identity that it had.
-    context.leavers, context.identities = {}, {}
+    # By world: the leaving voter, and the identity that it had.
+    context.leaving_voters, context.identities = {}, {}
     for simulated in context.worlds:
-        leaver = context.leavers[simulated] = voting_world.voters_of(simulated)[1]
-        context.identities[simulated] = leaver.machine.node
-        leaver.feed('stop')
-        assert simulated.run(ms(8000), lambda leaver=leaver: not leaver.up), simulated.seed
+        leaving_voter = context.leaving_voters[simulated] = voting_world.voters_of(simulated)[1]
+        context.identities[simulated] = leaving_voter.machine.node
+        leaving_voter.feed('stop')
+        assert simulated.run(ms(8000), lambda leaving_voter=leaving_voter: not leaving_voter.up), simulated.seed
 
 
-def assert_ended_soon(simulated: world.World, leaver) -> None:
-    """The last event of a process is its exit, soon after it was told to stop."""
-    events = [(time, event) for time, name, event, _ in simulated.process_events if name == leaver.name]
+def assert_exited_soon(simulated: world.World, leaving_voter) -> None:
+    """Fail unless the last event of a process is its exit, at most EXIT_LIMIT after it was told to stop."""
+    events = [(time, event) for time, name, event, _ in simulated.process_events if name == leaving_voter.name]
     assert events[-1][1] == 'exit' and events[-1][0] - events[-2][0] <= EXIT_LIMIT, events
 
 
-@behave.then('it has ended within a second, and a set without it was committed before')
-def leaver_was_replaced(context):
+@behave.then('it has exited within a second, and a voting set without it was committed before')
+def leaving_voter_was_replaced(context):
     for simulated in context.worlds:
         identity = context.identities[simulated]
         current = voting_world.committed_voting_set(simulated.leader())
         assert identity not in current['committed'], (simulated.seed, current)
         assert identity not in current['accepted'] and len(current['accepted']) == 3, (simulated.seed, current)
-        assert_ended_soon(simulated, context.leavers[simulated])
+        assert_exited_soon(simulated, context.leaving_voters[simulated])
 
 
-@behave.then('it has ended within a second, and it votes still')
-def leaver_is_still_a_voter(context):
+@behave.then('it has exited within a second, and is still a voter')
+def leaving_voter_is_still_a_voter(context):
     for simulated in context.worlds:
         accepted = voting_world.voting_set(simulated)['accepted']
         assert context.identities[simulated] in accepted and len(accepted) == 3
-        assert_ended_soon(simulated, context.leavers[simulated])
+        assert_exited_soon(simulated, context.leaving_voters[simulated])
 
 
-@behave.then('the master tells that it bears {count:d} more losses, and that it waits for {what}')
-def leader_tells_losses_borne(context, count: int, what: str):
+@behave.then('the leader reports that it tolerates {count:d} more losses, and that the voting set waits for {what}')
+def leader_reports_losses_tolerated(context, count: int, what: str):
     for simulated in context.worlds:
         machine = simulated.leader().machine
         status = machine.status()
@@ -69,14 +69,14 @@
         assert measures['losses_borne'] == [({}, count)], measures['losses_borne']
 
 
-@behave.when('the master gets a leave without a wait from a voter')
+@behave.when('the leader receives a leave without a wait from a voter')
 def leader_gets_old_leave(context):
     context.identities, context.delivered = {}, []
     for simulated in context.worlds:
         leader, voter = voting_world.voters_of(simulated)[:2]
         context.identities[simulated] = voter.machine.node
         simulated.on_deliver = lambda source, target, text: context.delivered.append(json.loads(text)['t'])
-        # As an older release says it; the process itself is cut off, so that it does not join again.
+        # The frame of an older release; the process itself is isolated, so that it does not join again.
         simulated.isolate(voter.name)
         frame = voter.machine.frame(messages.Leave())
         assert 'waits' not in frame
@@ -84,7 +84,7 @@
         simulated.run(ms(100))
 
 
-@behave.then('it drops that member, answers nothing, and keeps it as a voter')
+@behave.then('it removes that member, sends no response, and keeps it as a voter')
 def member_is_dropped_without_answer(context):
     assert 'leave_re' not in context.delivered
     for simulated in context.worlds:
@@ -93,22 +93,22 @@
         assert identity in voting_world.committed_voting_set(leader)['accepted'], simulated.seed
 
 
-@behave.when('a voter is told to stop and every answer to it is lost')
-def leaver_gets_no_answers(context):
-    context.leavers = {}
+@behave.when('a voter is told to stop and every response to it is lost')
+def leaving_voter_gets_no_responses(context):
+    context.leaving_voters = {}
     for simulated in context.worlds:
-        leaver = context.leavers[simulated] = voting_world.voters_of(simulated)[1]
+        leaving_voter = context.leaving_voters[simulated] = voting_world.voters_of(simulated)[1]
         for other in simulated.nodes:
-            if other != leaver.name:
-                simulated.cut(other, leaver.name, both=False)
-        leaver.feed('stop')
-        simulated.run(simulated.settings.grace / 2 + ms(10), lambda leaver=leaver: not leaver.up)
+            if other != leaving_voter.name:
+                simulated.cut(other, leaving_voter.name, both=False)
+        leaving_voter.feed('stop')
+        simulated.run(simulated.settings.grace / 2 + ms(10), lambda leaving_voter=leaving_voter: not leaving_voter.up)
 
 
-@behave.then('it has ended within half of its grace')
-def leaver_has_ended(context):
+@behave.then('it has exited within half of its grace period')
+def leaving_voter_has_exited(context):
     for simulated in context.worlds:
-        assert not context.leavers[simulated].up, simulated.seed
+        assert not context.leaving_voters[simulated].up, simulated.seed
 
 
 @behave.when('the spare has left and a voter loses power')
@@ -123,7 +123,7 @@
 
 
 def status_document(simulated: world.World) -> dict:
-    """The status that the leader tells over HTTP."""
+    """Return the leader's status page."""
     responses = []
     simulated.leader().call(effects.HttpRequest('GET', '/v1/status', {}, b''), responses.append)
     assert simulated.run(ms(2000), lambda: bool(responses)), simulated.seed
@@ -137,7 +137,9 @@
         command_session = session.Session(session.Options(addresses=['127.0.0.1:1']))
         output = io.StringIO()
         with (
-            mock.patch.object(command_session, 'call', lambda *args, document=document: session.Response(200, document)),
+            mock.patch.object(
+                command_session, 'call', lambda *args, document=document: session.Response(200, document)
+            ),
             contextlib.redirect_stdout(output),
         ):
             status_command.status(command_session, [])
--- a/features/support/control_node.py
+++ b/features/support/control_node.py
@@ -1,4 +1,4 @@
-"""A control node under test, with one other voter that answers it."""
+"""A control node under test, with one other voter that responds to it."""
 
 import json
 import random
@@ -18,7 +18,7 @@
 
 
 class ControlNode(machine_host.TimedMachine):
-    """Control node a of the voters a, b and c; b answers what it is sent at once, unless it is muted."""
+    """Control node a of the voters a, b and c; b responds at once to each frame, unless it is muted."""
 
     def __init__(self, seed: int = 1):
         files = machine_host.data_folder('a', VOTERS, START_TERM, START_VERSION)
@@ -26,7 +26,7 @@
         machine = controller.Controller(location, settings.Settings(), random.Random(seed), files)
         super().__init__(machine, durations.ZERO)
         self.is_muted = True
-        # What b holds.
+        # The replicated state of b.
         self.replica = replica.Replica()
         # {number of a call: (status, document)}
         self.responses: dict[int, tuple[int, typing.Any]] = {}
@@ -34,7 +34,7 @@
         self.feed('start')
 
     def feed(self, kind: str, *arguments) -> None:
-        """Give the node an input, and then what b answers."""
+        """Give the node an input, and then the responses of b to the frames it sends."""
         inputs = [(kind, arguments)]
         while inputs:
             kind, arguments = inputs.pop(0)
@@ -47,42 +47,42 @@
                     self.responses[effect.request_id] = (effect.status, json.loads(effect.body))
 
     def answer_of_b(self, frame: dict[str, typing.Any]) -> list[tuple]:
-        """The inputs by which b answers a frame: one, or none."""
-        held, term = self.replica, frame.get('term')
+        """Return b's response to a frame as inputs of the node: one, or none."""
+        replica_of_b, term = self.replica, frame.get('term')
         if frame['t'] == 'pub':
-            if frame['at'] > held.accepted:
-                held.accept(frame['at'], rows=frame.get('rows'), tables=frame.get('full'))
-            answer = {'t': 'pub_re', 'term': term, 'at': frame['at'], 'ok': True, 'accepted': held.accepted}
+            if frame['at'] > replica_of_b.accepted:
+                replica_of_b.accept(frame['at'], rows=frame.get('rows'), tables=frame.get('full'))
+            response = {'t': 'pub_re', 'term': term, 'at': frame['at'], 'ok': True, 'accepted': replica_of_b.accepted}
         elif frame['t'] == 'com':
-            held.commit(frame['at'])
-            answer = {'t': 'com_re', 'term': term, 'at': frame['at']}
+            replica_of_b.commit(frame['at'])
+            response = {'t': 'com_re', 'term': term, 'at': frame['at']}
         elif frame['t'] == 'chk':
-            answer = {
+            response = {
                 't': 'chk_re',
                 'term': term,
                 'round': frame['round'],
-                'accepted': held.accepted,
-                'committed': held.committed,
+                'accepted': replica_of_b.accepted,
+                'committed': replica_of_b.committed,
             }
         else:
             return []
-        return [('recv', (machine_host.frame_from('b', answer['t'], answer),))]
+        return [('recv', (machine_host.frame_from('b', response['t'], response),))]
 
     def recv(self, sender: str, kind: str, **fields) -> None:
         """Give the node a frame."""
         self.feed('recv', machine_host.frame_from(sender, kind, fields))
 
     def sent(self, kind: str, to: str = 'b') -> list[dict[str, typing.Any]]:
-        """All frames of a kind that were sent to a node."""
+        """Return all frames of a kind that were sent to a node."""
         address = machine_host.address_of(to)
         return [send.frame for send in self.sends if send.address == address and send.frame['t'] == kind]
 
     def follow(self, leader: str, term: int) -> None:
-        """Get a heartbeat of a leader."""
+        """Receive a heartbeat of a leader."""
         self.recv(leader, 'chk', term=term, to='a', round=1, http='')
 
     def lead(self) -> None:
-        """Become leader by the vote of b, which answers nothing else."""
+        """Become leader by the vote of b, which responds to nothing else."""
         self.is_muted = True
         if self.machine.mode == 'follower':
             self.machine.lose_leader('test')
@@ -94,7 +94,7 @@
         assert self.machine.mode == 'leader'
 
     def serve(self) -> None:
-        """Become leader with everything committed."""
+        """Become leader, and commit everything with the help of b."""
         self.lead()
         self.is_muted = False
         self.run(1500)
@@ -102,7 +102,7 @@
         assert committed[0] == self.machine.term, committed
 
     def lead_anew(self) -> None:
-        """Step down and lead again, knowing nothing but the replicated state, as another node would."""
+        """Step down and lead again with only the replicated state, like a newly elected node."""
         self.machine.step_down('test')
         registry = self.machine.endpoint_registry
         registry.heartbeat_sequences, registry.last_heartbeats = {}, {}
@@ -111,14 +111,14 @@
         self.serve()
 
     def call(self, path: str, **body) -> tuple[int, typing.Any] | None:
-        """(status, document) of a call over HTTP; None where there is no response yet."""
+        """Return (status, document) of a call over HTTP, or None if there is no response yet."""
         number = len(self.responses) + FIRST_CALL
         self.feed('http', number, effects.HttpRequest('POST', path, {}, json.dumps(body).encode()))
         self.run(100)
         return self.responses.get(number)
 
     def operate(self, operation: str, **arguments) -> dict[str, typing.Any]:
-        """The result of an operation on the replicated state."""
+        """Return the result of an operation on the replicated state."""
         results: list[dict[str, typing.Any]] = []
         self.machine.serve(operation, arguments, results.append)
         self.feed('wake')
--- a/features/support/first_start.py
+++ b/features/support/first_start.py
@@ -1,4 +1,4 @@
-"""The same first start of a cluster under several seeds, in virtual time."""
+"""The same first start of a cluster under several seeds of the simulator, in virtual time."""
 
 import collections.abc
 import datetime
@@ -10,11 +10,11 @@
 ms = durations.ms
 
 SEEDS = range(1, 7)
-# Processes start within this time.
+# Processes start at random times within this span.
 START_SPREAD_MS = 200
 FORMING_TIME = ms(15000)
 
-# When a process starts.
+# Returns the time after which a process starts.
 Delay = collections.abc.Callable[[simulated_node.Node], datetime.timedelta]
 
 
@@ -24,18 +24,18 @@
 
 
 def clusters(simulated: world.World) -> set[str]:
-    """Clusters that can act: those with a leader that has committed something in its term."""
+    """Return the clusters that can commit: those with a leader that has committed something in its term."""
     return {
         node.machine.cluster for node in simulated.leaders() if node.machine.replica.committed[0] == node.machine.term
     }
 
 
 class FirstStart:
-    """Control nodes and directories that know nothing but their seeds, named by process, in a world for each seed."""
+    """Control nodes and directories that know only the addresses of `seeds`, in one world per simulator seed."""
 
     def __init__(self, control_nodes: int, directories: int, seeds: list[str]):
         self.worlds: list[world.World] = []
-        # The clusters that could act at any time, by world.
+        # The clusters that could commit at any time, by world.
         self.seen: dict[world.World, set[str]] = {}
         for seed in SEEDS:
             simulated = world.World(seed)
@@ -50,15 +50,15 @@
             self.seen[simulated] = set()
 
     def run(self, simulated: world.World, duration: datetime.timedelta) -> None:
-        """Let time go on in one world."""
+        """Advance one world, and record the clusters that can commit."""
 
-        def look() -> None:
+        def record_clusters() -> None:
             self.seen[simulated] |= clusters(simulated)
 
-        simulated.run(duration, look)
+        simulated.run(duration, record_clusters)
 
-    def start_apart(self, simulated: world.World) -> None:
-        """Start while cut as the caller cut it, then heal."""
+    def start_partitioned(self, simulated: world.World) -> None:
+        """Start all processes under the partition that the caller made, then heal it."""
         start_all(simulated)
         self.run(simulated, FORMING_TIME)
         simulated.heal()
@@ -74,7 +74,7 @@
 
 
 def assert_all_joined(simulated: world.World, formed: set[str]) -> None:
-    """All processes that are up are in the cluster that formed, and know its leader."""
+    """Fail unless all processes that are up are in the cluster that formed, and know its leader."""
     nodes = [node for node in simulated.nodes.values() if node.up]
     assert {node.machine.cluster for node in nodes} == formed, (
         simulated.seed,
--- a/features/support/folder_model.py
+++ b/features/support/folder_model.py
@@ -1,8 +1,8 @@
-"""A data folder in memory, of which a loss of power may leave any part that was not synced.
+"""A data folder in memory that models the effects of a loss of power.
 
-After a loss of power each entry that was made, renamed or removed since the
-folder was last synced may be kept or lost by itself, and bytes that were not
-synced may be old, new or torn.
+After a loss of power each entry that was created, renamed or removed since the
+folder was last synced may be preserved or lost independently, and bytes that
+were not synced may be old, new or torn.
 """
 
 import collections.abc
@@ -16,23 +16,23 @@
 FOLDER = '/data'
 FIRST_HANDLE = 100
 
-# The inode that each path names.
+# {path: index of its inode}
 Entries = dict[str, int]
-# What each inode holds.
+# The bytes of each inode.
 Contents = list[bytes]
 
 
 class FolderModel:
-    """The calls of `os` that transport.disk makes, over inodes and folder entries that are synced apart."""
+    """Implements the calls of `os` that transport.disk makes; inodes and folder entries are synced separately."""
 
     O_WRONLY, O_CREAT, O_RDONLY, O_TRUNC = os.O_WRONLY, os.O_CREAT, os.O_RDONLY, os.O_TRUNC
 
     def __init__(self, entries: collections.abc.Mapping[str, int] = types.MappingProxyType({}), contents=()):
-        # What each inode holds: [synced bytes, bytes].
+        # The bytes of each inode: [synced, newest].
         self.inodes = [[data, data] for data in contents]
         self.entries: Entries = dict(entries)
         self.synced: Entries = dict(entries)
-        # What each entry that was changed since its folder was synced has pointed to.
+        # {path: inodes that it has named since its folder was last synced, None for no inode}
         self.changed: dict[str, set[int | None]] = {}
         # An open file's [inode, position], or the path of an open folder.
         self.handles: dict[int, list[int] | str] = {}
@@ -40,8 +40,8 @@
         self.after_step = lambda: None
         self.path = types.SimpleNamespace(join=os.path.join, isfile=lambda path: path in self.entries)
 
-    def point(self, path: str, inode: int | None) -> None:
-        """Let an entry name an inode, or nothing."""
+    def set_entry(self, path: str, inode: int | None) -> None:
+        """Set an entry to an inode, or remove it."""
         self.changed.setdefault(path, {self.synced.get(path)}).add(inode)
         if inode is None:
             self.entries.pop(path, None)
@@ -55,15 +55,15 @@
         if old not in self.entries:
             raise FileNotFoundError(old)
         inode = self.entries[old]
-        self.point(old, None)
-        self.point(new, inode)
+        self.set_entry(old, None)
+        self.set_entry(new, inode)
         self.after_step()
 
     def remove(self, path: str) -> None:
         """As os.remove."""
         if path not in self.entries:
             raise FileNotFoundError(path)
-        self.point(path, None)
+        self.set_entry(path, None)
         self.after_step()
 
     def mkdir(self, path: str) -> None:
@@ -78,7 +78,7 @@
         return [os.path.basename(path) for path in self.entries if os.path.dirname(path) == folder]
 
     def stat(self, path: str) -> types.SimpleNamespace:
-        """As os.stat, of which only the inode is told."""
+        """As os.stat, but only with the inode."""
         return types.SimpleNamespace(st_ino=self.entries[path])
 
     def open(self, path: str, flags: int, mode: int = 0) -> int:
@@ -87,7 +87,7 @@
         if flags & os.O_CREAT:
             if path not in self.entries:
                 self.inodes.append([b'', b''])
-                self.point(path, len(self.inodes) - 1)
+                self.set_entry(path, len(self.inodes) - 1)
                 self.after_step()
             self.handles[handle] = [self.entries[path], 0]
             if flags & os.O_TRUNC:
@@ -146,10 +146,10 @@
         """As the built-in open, for reading."""
         return io.StringIO(self.inodes[self.entries[path]][1].decode())
 
-    # -- what a loss of power may leave -----------------------------------
+    # -- states that a loss of power may leave -----------------------------------
 
-    def remains(self) -> collections.abc.Iterator[tuple[Entries, Contents]]:
-        """Every (entries, contents) that a loss of power now may leave."""
+    def possible_remains(self) -> collections.abc.Iterator[tuple[Entries, Contents]]:
+        """Yield every (entries, contents) that a loss of power now may leave."""
         paths = sorted(self.changed)
         choices = [sorted(self.changed[path], key=str) for path in paths]
         for chosen in itertools.product(*choices):
@@ -163,17 +163,17 @@
                 yield entries, contents
 
     def possible_bytes(self, inode: int) -> list[bytes]:
-        """What an inode may hold after a loss of power: its synced bytes, its newest, or a mixture."""
+        """Return the possible bytes of an inode after a loss of power: the synced ones, the newest, or a mixture."""
         old, new = self.inodes[inode]
         return sorted({old, new, new[: len(new) // 2] + old[len(new) // 2 :]})
 
     def newest_contents(self) -> Contents:
-        """What each inode holds as long as the power lasts."""
+        """Return the bytes of each inode without a loss of power."""
         return [newest for _, newest in self.inodes]
 
 
 def open_disk(model: FolderModel) -> disk.Disk:
-    """transport.disk over a modelled folder; until `restore_os` every Disk works on that model."""
+    """Return a transport.disk.Disk on a modelled folder; until `restore_os` every Disk works on that model."""
     modelled = disk.Disk.__new__(disk.Disk)
     modelled.folder, modelled.reusable = FOLDER, disk.collections.deque()
     modelled.multiply_linked, modelled.possibly_open = set(), set()
@@ -183,14 +183,14 @@
 
 
 def restore_os() -> None:
-    """Let transport.disk call the operating system again."""
+    """Make transport.disk call the operating system again."""
     disk.os = os
     if hasattr(disk, 'open'):
         del disk.open
 
 
 def files_of(entries: Entries, contents: Contents) -> dict[str, str]:
-    """The files as Disk.load would give them, {name: text}."""
+    """Return the files as Disk.load does: {name: text}."""
     return {
         os.path.basename(path): contents[inode].decode()
         for path, inode in entries.items()
--- a/features/support/folder_sample.py
+++ b/features/support/folder_sample.py
@@ -1,10 +1,10 @@
-"""Records the data folder of a control node, as features/data/format2 keeps it.
+"""Records the data folder of a control node; features/data/format2 is such a recording.
 
     python -m features.support.folder_sample
 
-writes the files of a node that led, and carried out an operation of most kinds,
-and beside them what they hold. It is done once for a format: each later release
-must read the folder.
+writes the files of a node that led and applied an operation of most kinds, and
+beside them their decoded content. It is run once for each format: every later
+release must read the folder.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 def operations(epoch: int) -> list[tuple[str, dict[str, typing.Any]]]:
-    """(operation, arguments) of each that is carried out."""
+    """Return (operation, arguments) of each operation to apply."""
     endpoint = {'inc': 'e1', 'addr': '10.1.0.1:80', 'service': 'loans', 'cell': ZONE, 'slots': 4, 'state': 'ready'}
     request = {'id': f'{epoch}.r', 'attempt': 1, 'nonce': 'n', 'proxy': 'p', 'at': '10.2.0.1:1'}
     return [
@@ -50,7 +50,7 @@
 
 
 class RecordedNode(control_node.ControlNode):
-    """A control node whose files are kept."""
+    """A control node whose files are stored in memory."""
 
     def __init__(self):
         voters, term, version = control_node.VOTERS, control_node.START_TERM, control_node.START_VERSION
@@ -64,17 +64,17 @@
             self.files.pop(name, None)
 
     def feed(self, kind: str, *arguments) -> None:
-        """Give the node an input, and keep what it writes."""
+        """Give the node an input, and store the files it writes."""
         original = self.machine.feed
 
-        def feed_and_keep(*inputs):
-            found = original(*inputs)
-            for effect in found:
+        def feed_and_store(*inputs):
+            feed_effects = original(*inputs)
+            for effect in feed_effects:
                 if isinstance(effect, effects.Write):
                     self.carry_out(effect)
-            return found
+            return feed_effects
 
-        self.machine.feed = feed_and_keep
+        self.machine.feed = feed_and_store
         try:
             super().feed(kind, *arguments)
         finally:
@@ -82,7 +82,7 @@
 
 
 def content(files: dict[str, str]) -> dict[str, typing.Any]:
-    """What a folder holds, as a document."""
+    """Return the decoded content of a data folder, as a document."""
     loaded = storage.load(files)
     return {
         'node': loaded.node,
@@ -95,7 +95,7 @@
 
 
 def record() -> dict[str, str]:
-    """The files of a node that carried out all operations."""
+    """Apply all operations at a new node, and return its files."""
     node = RecordedNode()
     node.serve()
     for operation, arguments in operations(node.machine.replica.get('meta', 'epoch')):
@@ -105,7 +105,7 @@
 
 
 def main() -> None:
-    """Write the folder, and what it holds."""
+    """Write the folder, and its decoded content."""
     files = record()
     os.makedirs(FOLDER, exist_ok=True)
     for name, text in files.items():
--- a/features/support/following_proxy.py
+++ b/features/support/following_proxy.py
@@ -29,7 +29,7 @@
 
 
 def tables(runs_once: bool = True) -> dict[str, dict]:
-    """The state that the proxy follows; p is another proxy. One rule leads to the pool, for what may run once or often."""
+    """Return the replicated state; p is another proxy. One rule routes all requests to the pool, to run once or not."""
     far = dict(ENDPOINT, addr='10.0.9.2:80', cell='r1/c0')
     members = {'b': machine_host.member_row('b'), 'p': dict(machine_host.member_row('p'), role='prox')}
     return {
@@ -43,7 +43,7 @@
 
 
 class FollowingProxy(machine_host.MachineHost):
-    """The proxy, and all that it has sent and answered."""
+    """The proxy, and all its frames, fetches and responses."""
 
     def __init__(self, runs_once: bool = True):
         location = machine_host.location_of('a')
@@ -52,7 +52,7 @@
         self.fetches: list[effects.HttpFetch] = []
         # {number of a call: (status, document)}
         self.responses: dict[int, tuple[int, typing.Any]] = {}
-        # The calls that were answered, in order; one that is answered twice stands twice.
+        # The calls that got a response, in order; a call that got two is listed twice.
         self.answered: list[int] = []
         self.calls = 0
         self.round = 0
@@ -63,7 +63,7 @@
         assert self.machine.has_lease()
 
     def feed(self, kind: str, *arguments) -> list:
-        """Give the machine an input; its sends, fetches and responses are kept."""
+        """Give the machine an input, and store its sends, fetches and responses."""
         found = super().feed(kind, *arguments)
         self.sends += [effect for effect in found if isinstance(effect, effects.Send)]
         self.fetches += [effect for effect in found if isinstance(effect, effects.HttpFetch)]
@@ -74,35 +74,35 @@
         return found
 
     def renew_lease(self) -> None:
-        """Get a heartbeat of the leader, and a lease for it."""
+        """Receive a heartbeat of the leader, and a lease for it."""
         self.round += 1
         self.recv('b', 'chk', term=3, to=self.machine.node, round=self.round, http='')
         self.recv('b', 'grant', term=3, ack=self.round)
 
     def pass_time(self, duration_ms: int) -> None:
-        """Let time go on under the leader's lease."""
+        """Advance the clock while the leader renews the lease."""
         for _ in range(0, duration_ms, 100):
             self.run(100)
             self.renew_lease()
 
     def sent_all(self, kind: str) -> list[dict[str, typing.Any]]:
-        """All frames of a kind that were ever sent."""
+        """Return all frames of a kind that were sent since the start."""
         return [send.frame for send in self.sends if send.frame['t'] == kind]
 
     def request(self, request_id: str, left_ms: int = 2000, **more: str) -> int:
-        """A request of a client, with more headers; returns the number of its call."""
+        """Send a request of a client, with more headers; return the number of its call."""
         self.calls += 1
         headers = {'zt-id': request_id, 'zt-attempt': '1', 'zt-left-ms': str(left_ms), **more}
         self.feed('http', self.calls, effects.HttpRequest('POST', f'/r/{POOL}/x', headers, b''))
         return self.calls
 
     def answer_claim(self, **result) -> None:
-        """The leader answers the newest claim."""
+        """Let the leader respond to the newest claim."""
         key = self.sent_all('ask')[-1]['key']
         self.recv('b', 'ask_re', key=key, result={'status': 200, **result})
 
     def grant_credit(self, fence: int = FENCE, number: int | None = None, incarnation: str = INCARNATION) -> None:
-        """The ledger grants two requests at an endpoint, in answer to the newest request for credit."""
+        """Let the ledger grant two requests at an endpoint, in response to the newest request for credit."""
         asked = self.sent_all('want')[-1]['no']
         fields = {'pool': POOL, 'fence': fence, 'grants': {incarnation: 2}, 'seq': 1}
         self.recv('d', 'credit', no=asked if number is None else number, **fields)
--- a/features/support/leading_control_node.py
+++ b/features/support/leading_control_node.py
@@ -1,4 +1,4 @@
-"""A control node that leads alone, and the proxies that follow it."""
+"""A control node that leads as the only voter, and the proxies that follow it."""
 
 import random
 import typing
@@ -13,7 +13,7 @@
 
 
 def proxy_address(number: int) -> str:
-    """The address of a proxy."""
+    """Return the address of a proxy."""
     return f'{PROXY_NETWORK}0.{number}:1000'
 
 
@@ -26,11 +26,11 @@
         super().__init__(controller.Controller(location, settings.Settings(), random.Random(1), files))
         # {proxy: the version it has accepted}
         self.accepted: dict[int, list[int]] = {}
-        # (when, proxy) of each heartbeat.
+        # (time, proxy) of each heartbeat.
         self.heartbeats: list[tuple] = []
-        # (when, proxy, when the heartbeat that it renews was sent, whether it came with a heartbeat) of each lease.
+        # Lease grants: (time, proxy, time at which the granted heartbeat was sent, True if sent within a heartbeat).
         self.grants: list[tuple] = []
-        # {(proxy, round): when its heartbeat was first sent}
+        # {(proxy, round): time at which its heartbeat was first sent}
         self.round_started: dict[tuple, typing.Any] = {}
         self.feed('start')
         self.run(2000)
@@ -39,7 +39,7 @@
             self.join(number, level)
 
     def join(self, number: int, level: int) -> None:
-        """A proxy joins."""
+        """Let a proxy join."""
         address = proxy_address(number)
         row = {'role': 'prox', 'addr': address, 'http': '', 'cell': 'r0/c0', 'level': level}
         frame = {
@@ -55,7 +55,7 @@
         self.feed('recv', frame)
 
     def recv_from_proxy(self, number: int, kind: str, **fields) -> None:
-        """Get a frame of a proxy."""
+        """Receive a frame of a proxy."""
         envelope = {
             't': kind,
             'v': WIRE_LEVEL,
@@ -67,26 +67,26 @@
         self.feed('recv', {**fields, **envelope})
 
     def run_with_proxies(self, duration_ms: float, silent=(), stale=()) -> None:
-        """Let time go on, with the proxies answering.
+        """Advance the clock while the proxies respond.
 
-        The silent ones answer nothing, and the stale ones only heartbeats.
+        The silent ones respond to nothing, and the stale ones only to heartbeats.
         """
-        self.run(duration_ms, lambda: self.answer_as_proxies(silent, stale))
+        self.run(duration_ms, lambda: self.respond_as_proxies(silent, stale))
 
-    def answer_as_proxies(self, silent=(), stale=()) -> None:
-        """Answer each frame of the last input as its proxy does, and what comes of that."""
+    def respond_as_proxies(self, silent=(), stale=()) -> None:
+        """Respond to each frame of the last input as its proxy does, and to the frames sent in turn."""
         for effect in list(self.effects):
             if not isinstance(effect, effects.Send) or not effect.address.startswith(PROXY_NETWORK):
                 continue
             number, frame = int(effect.address.split(':')[0].split('.')[3]), effect.frame
-            self.note(number, frame)
+            self.record_frame(number, frame)
             if number in silent or (number in stale and frame['t'] != 'chk'):
                 continue
-            if self.answer_as_proxy(number, frame):
-                self.answer_as_proxies(silent, stale)
+            if self.respond_as_proxy(number, frame):
+                self.respond_as_proxies(silent, stale)
 
-    def answer_as_proxy(self, number: int, frame: dict[str, typing.Any]) -> bool:
-        """Answer a frame as a proxy does; whether it is answered at all."""
+    def respond_as_proxy(self, number: int, frame: dict[str, typing.Any]) -> bool:
+        """Respond to a frame as a proxy does; return False if the proxy sends no response."""
         if frame['t'] == 'pub':
             self.accepted[number] = list(frame['at'])
             self.recv_from_proxy(number, 'pub_re', at=frame['at'], ok=True, accepted=frame['at'])
@@ -99,8 +99,8 @@
             return False
         return True
 
-    def note(self, number: int, frame: dict[str, typing.Any]) -> None:
-        """Note the heartbeats and leases that a proxy is sent."""
+    def record_frame(self, number: int, frame: dict[str, typing.Any]) -> None:
+        """Record a frame that is sent to a proxy if it is a heartbeat or grants a lease."""
         if frame['t'] == 'chk':
             self.heartbeats.append((self.now, number))
             self.round_started.setdefault((number, frame['round']), self.now)
--- a/features/support/machine_host.py
+++ b/features/support/machine_host.py
@@ -17,27 +17,27 @@
 
 
 def address_of(node: str) -> str:
-    """The address of a node."""
+    """Return the address of a node."""
     return f'10.0.0.{number_of(node)}:1000'
 
 
 def number_of(node: str) -> int:
-    """1 for 'a', 2 for 'b' and so on."""
+    """Return 1 for 'a', 2 for 'b' and so on."""
     return ord(node) - ord('a') + 1
 
 
 def location_of(node: str) -> node_location.NodeLocation:
-    """Where a node runs; its only seed is b."""
+    """Return the location of a node whose only seed is b."""
     return node_location.NodeLocation(address_of(node), f'10.0.0.{number_of(node)}:80', 'r0/c0', [address_of('b')])
 
 
 def member_row(node: str, cell: str = 'r0/c0') -> dict[str, typing.Any]:
-    """A node's row in the membership table."""
+    """Return a node's row in the membership table."""
     return {'role': 'core', 'addr': address_of(node), 'http': '', 'cell': cell, 'level': WIRE_LEVEL}
 
 
 def data_folder(node: str, voters: list[str], term: int, version: tuple[int, int]) -> dict[str, str]:
-    """The files of a node that has reached a term, with a snapshot of an otherwise empty state at a version."""
+    """Return the files of a node that has reached a term, with a snapshot of an otherwise empty state at a version."""
     voting_set = {'committed': voters, 'accepted': voters}
     meta = {'cluster': CLUSTER, 'vc': voting_set, 'boot': voters, 'routes': list(version)}
     tables = {'meta': meta, 'members': {voter: member_row(voter) for voter in voters}}
@@ -49,12 +49,12 @@
 
 
 def frame_from(node: str, kind: str, fields: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """A frame of a kind from a node."""
+    """Return a frame of a kind from a node."""
     return dict(fields, t=kind, v=WIRE_LEVEL, c=CLUSTER, f=node, a=address_of(node))
 
 
 class TimedMachine:
-    """One machine and its clock; subclasses say what becomes of its effects."""
+    """One machine and its clock; subclasses apply its effects."""
 
     def __init__(self, machine: typing.Any, now: datetime.timedelta):
         self.machine = machine
@@ -65,7 +65,7 @@
         raise NotImplementedError
 
     def run(self, duration_ms: float, after_each: collections.abc.Callable[[], None] | None = None) -> None:
-        """Let time go on; `after_each` is called each time that timers have fired."""
+        """Advance the clock; `after_each` is called each time that timers have fired."""
         end = self.now + durations.ms(duration_ms)
         timer = self.machine.next_timer()
         while timer is not None and timer <= end:
@@ -78,7 +78,7 @@
 
 
 class MachineHost(TimedMachine):
-    """Runs one machine and keeps the effects of the last input; its disk may be full."""
+    """Runs one machine and stores the effects of the last input; its disk may be full."""
 
     def __init__(self, machine: typing.Any):
         super().__init__(machine, durations.ZERO)
@@ -86,7 +86,7 @@
         self.effects: list = []
 
     def feed(self, kind: str, *arguments) -> list:
-        """Give the machine an input, and a fault of the disk where a write of it fails; returns the effects."""
+        """Give the machine an input, and a disk error if one of its writes fails; return the effects."""
         self.effects = []
         inputs = [(kind, arguments)]
         while inputs:
@@ -103,13 +103,13 @@
         return self.feed('recv', frame_from(sender, kind, fields))
 
     def sent(self, kind: str) -> list[dict[str, typing.Any]]:
-        """The frames of a kind that the last input made the machine send."""
+        """Return the frames of a kind that the machine sent in response to the last input."""
         return [
             effect.frame for effect in self.effects if isinstance(effect, effects.Send) and effect.frame['t'] == kind
         ]
 
     def written_before(self, kind: str) -> bool:
-        """Whether the last input made the machine write before it sent a frame of a kind."""
+        """True if the machine wrote to its disk before it sent a frame of a kind, in response to the last input."""
         for effect in self.effects:
             if isinstance(effect, effects.Write):
                 return True
--- a/features/support/random_core_faults.py
+++ b/features/support/random_core_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of control nodes in virtual time, and what must never come of them."""
+"""Random faults of control nodes in virtual time, and the rules that must hold under them."""
 
 import random
 
@@ -13,9 +13,9 @@
 FAULTS = ('stop', 'stop', 'power', 'silent power', 'wipe', 'freeze', 'all')
 FAULT_COUNT = 40
 FAULTS_MS = 60000
-AWAY_MS = (300, 800, 1500, 3000, 6000)
+DOWNTIMES_MS = (300, 800, 1500, 3000, 6000)
 CONTROL_NODE_COUNTS = (3, 4, 5, 6)
-FEWEST_VOTERS = 3
+MIN_VOTERS = 3
 CHANGE_GAP = ms(700)
 
 
@@ -37,38 +37,38 @@
         self.change_count = 0
 
     def run(self) -> list:
-        """Let it all happen, then let it settle; what was violated, with what is wrong at the end."""
+        """Run all faults, then let the cluster settle; return the violations, or the problems that remain at the end."""
         self.change_configuration()
         for _ in range(FAULT_COUNT):
             self.world.after(ms(self.rng.uniform(0, FAULTS_MS)), self.cause_fault)
-        self.world.run(ms(62000), self.look)
+        self.world.run(ms(62000), self.check_nodes)
         self.world.heal()
-        self.world.run(ms(15000), self.look)
+        self.world.run(ms(15000), self.check_nodes)
         for node in self.world.of('core'):
             self.start(node)
-        self.world.run(ms(20000), self.look)
-        return self.violations or self.faults_at_the_end()
+        self.world.run(ms(20000), self.check_nodes)
+        return self.violations or self.remaining_problems()
 
-    def look(self) -> bool:
-        """Whether a rule is violated by now."""
+    def check_nodes(self) -> bool:
+        """Check all running control nodes; True if any rule was violated so far."""
         for node in self.world.of('core'):
             if node.up:
-                self.look_at(node.machine)
+                self.check_node(node.machine)
         return bool(self.violations)
 
-    def look_at(self, machine) -> None:
-        """Look at one control node."""
+    def check_node(self, machine) -> None:
+        """Check one control node, and record the rules that it violates."""
         committed = machine.replica.committed
         if committed > (0, 0) and self.versions.setdefault(committed[1], committed) != committed:
             self.violations.append(('two versions of one number', self.versions[committed[1]], committed))
         if machine.mode == 'leader' and self.leaders.setdefault(machine.term, machine.node) != machine.node:
             self.violations.append(('two leaders of one term', machine.term))
         voting_set = machine.voting_set()
-        if voting_set and len(voting_set['accepted']) < FEWEST_VOTERS:
-            self.violations.append(('a set below three', voting_set))
+        if voting_set and len(voting_set['accepted']) < MIN_VOTERS:
+            self.violations.append(('a voting set below three', voting_set))
 
     def change_configuration(self) -> None:
-        """Change the configuration, again and again."""
+        """Change the configuration, and schedule the next change after CHANGE_GAP."""
         self.change_count += 1
         text = str(self.change_count)
         self.deployment.operator.change(
@@ -81,17 +81,17 @@
         if not node.up:
             node.start()
 
-    def start_once_ended(self, node) -> None:
-        """Start a process that was told to stop, as soon as it has ended."""
+    def start_once_exited(self, node) -> None:
+        """Start a process that was told to stop, once it has exited."""
         if node.up and node.machine.stopping:
-            self.world.after(ms(500), self.start_once_ended, node)
+            self.world.after(ms(500), self.start_once_exited, node)
         else:
             self.start(node)
 
     def may_wipe(self) -> bool:
-        """Whether a wipe can be borne now.
+        """True if the cluster tolerates a wipe now.
 
-        It loses what was acknowledged: only one at a time, with all others there and the voting set settled.
+        A wipe loses acknowledged state: only one at a time, with all others running and the voting set settled.
         """
         leader = self.world.leader()
         nodes = self.world.of('core')
@@ -102,49 +102,49 @@
         return is_settled and leader.machine.losses_tolerated() >= 1
 
     def cause_fault(self) -> None:
-        """Cause a random fault, if it can be borne now."""
+        """Inject a random fault if the cluster tolerates it now."""
         node = self.rng.choice(self.world.of('core'))
         fault = self.rng.choice(FAULTS)
-        away = ms(self.rng.choice(AWAY_MS))
+        downtime = ms(self.rng.choice(DOWNTIMES_MS))
         if not node.up or (fault == 'wipe' and not self.may_wipe()):
             return
         if fault == 'stop':
             node.feed('stop')
-            self.world.after(away, self.start_once_ended, node)
+            self.world.after(downtime, self.start_once_exited, node)
         elif fault == 'freeze':
             if node.paused is None:
-                node.pause(away)
+                node.pause(downtime)
         elif fault == 'all':
             self.cut_power_of_all()
         else:
-            self.cut_power(node, fault, away)
+            self.cut_power(node, fault, downtime)
 
     def cut_power_of_all(self) -> None:
-        """All control nodes lose power; each is back after a time of its own."""
+        """Cut the power of all control nodes; each restarts after a random time."""
         for node in self.world.of('core'):
             node.kill(power=True)
             self.world.after(ms(self.rng.uniform(300, 1500)), self.start, node)
 
-    def cut_power(self, node, fault: str, away) -> None:
-        """One control node loses power, in silence or with its disk if the fault says so."""
+    def cut_power(self, node, fault: str, downtime) -> None:
+        """Cut the power of a control node; 'silent power' isolates it first, 'wipe' also replaces its disk."""
         if fault == 'silent power':
             self.world.isolate(node.name)
-            self.world.after(away, self.world.heal, node.name)
+            self.world.after(downtime, self.world.heal, node.name)
         node.kill(power=True)
         if fault == 'wipe':
             node.disk = simulated_disk.Disk()
-        self.world.after(away, self.start, node)
+        self.world.after(downtime, self.start, node)
 
-    def faults_at_the_end(self) -> list:
-        """What is wrong once everything had time to settle; empty if nothing is."""
+    def remaining_problems(self) -> list:
+        """Return a problem that remains after everything had time to settle, as a list that is empty without one."""
         leader = self.world.leader()
         if leader is None:
             return ['no leader']
         committed = leader.machine.replica.committed
         if committed[1] < max(self.versions):
-            return ['lost', committed, max(self.versions)]
-        size = min(voting_world.MOST_VOTERS, voting_world.settled_size(self.control_node_count))
+            return ['a committed version was lost', committed, max(self.versions)]
+        size = min(voting_world.MAX_VOTERS, voting_world.settled_size(self.control_node_count))
         voting_set = voting_world.committed_voting_set(leader)
         if len(voting_set['accepted']) != size or voting_world.is_joint(voting_set):
-            return ['not whole', voting_set, leader.machine.voting_set_waits()]
+            return ['the voting set is not complete', voting_set, leader.machine.voting_set_waits()]
         return []
--- a/features/support/voter_history.py
+++ b/features/support/voter_history.py
@@ -1,4 +1,4 @@
-"""A voter alone with its data folder: steps that make it write, and what it remembers."""
+"""A single voter with its data folder: steps that make it write, and the state that it must not lose."""
 
 import collections.abc
 import random
@@ -13,20 +13,20 @@
 
 VOTERS = ['a', 'b', 'c']
 
-# Something that a voter does, and that makes it write.
+# An action of a voter that makes it write.
 Step = collections.abc.Callable[[voter.Voter], None]
 
 
-class VoterMemory(typing.NamedTuple):
-    """What a voter must never forget once it has acknowledged it."""
+class DurableState(typing.NamedTuple):
+    """The state of a voter that must never be lost once it was acknowledged."""
 
     term: int
     vote: str | None
     accepted: tuple[int, int]
     tables: dict[str, typing.Any]
 
-    def is_older_than(self, acknowledged: 'VoterMemory') -> bool:
-        """Whether something that was acknowledged is missing here."""
+    def is_older_than(self, acknowledged: 'DurableState') -> bool:
+        """True if something that was acknowledged is missing here."""
         if self.accepted < acknowledged.accepted or self.term < acknowledged.term:
             return True
         if self.term == acknowledged.term and self.vote != acknowledged.vote:
@@ -34,25 +34,25 @@
         return self.accepted == acknowledged.accepted and self.tables != acknowledged.tables
 
 
-def memory_of(node: voter.Voter) -> VoterMemory:
-    """What a running voter knows."""
-    return VoterMemory(node.term, node.vote, node.replica.accepted, node.replica.full_state())
+def durable_state_of(node: voter.Voter) -> DurableState:
+    """Return the durable state of a running voter."""
+    return DurableState(node.term, node.vote, node.replica.accepted, node.replica.full_state())
 
 
-def memory_in(files: dict[str, str]) -> VoterMemory:
-    """What a voter that loads these files knows; raises errors.CorruptionError where it can't tell."""
+def durable_state_in(files: dict[str, str]) -> DurableState:
+    """Return the state that a voter loads from these files; raises errors.CorruptionError if they are damaged."""
     loaded = storage.load(files)
-    return VoterMemory(loaded.term, loaded.vote, loaded.replica.accepted, loaded.replica.full_state())
+    return DurableState(loaded.term, loaded.vote, loaded.replica.accepted, loaded.replica.full_state())
 
 
 def new_voter(files: dict[str, str], bounds: settings.Settings | None = None) -> voter.Voter:
-    """A voter that starts with the files of its data folder; by default it writes a snapshot every 2 versions."""
+    """Return a voter that starts with the files of its data folder; by default it writes a snapshot every 2 versions."""
     location = node_location.NodeLocation('10.0.0.1:1000', '10.0.0.1:80', 'r/z', [])
     return voter.Voter(location, bounds or settings.Settings(checkpoint_every=2), random.Random(1), files)
 
 
 def run_disk_effects(node: voter.Voter, modelled: disk.Disk) -> None:
-    """Carry out what a voter wants written, and drop its other effects."""
+    """Apply a voter's disk effects, and drop its other effects."""
     for effect in [effect for effect in node.out if isinstance(effect, effects.DISK_EFFECTS)]:
         modelled.carry_out(effect)
     node.out = []
@@ -62,17 +62,17 @@
 
 
 def write_identity(node: voter.Voter) -> None:
-    """Write who the voter is, and remove the files that no longer count."""
+    """Write the voter's identity, and remove obsolete files."""
     node.persistence.write_identity(storage.obsolete_files(node.data_folder.files))
 
 
 def raise_term(term: int, vote: str) -> Step:
-    """Enter a term and vote in it."""
+    """Return a step that enters a term and votes in it."""
     return lambda node: node.raise_term(term, vote)
 
 
 def accept_rows(term: int, number: int) -> Step:
-    """Accept a version that changes one of three rows."""
+    """Return a step that accepts a version that changes one of three rows."""
 
     def step(node: voter.Voter) -> None:
         rows = [['t', f'k{number % 3}', number], ['meta', 'term', term]]
@@ -86,8 +86,8 @@
     accept_rows(node.term, node.replica.accepted[1] + 1)(node)
 
 
-def accept_whole(term: int, number: int, more: dict[str, typing.Any] | None = None) -> Step:
-    """Accept a version that is sent as the whole state."""
+def accept_full_state(term: int, number: int, more: dict[str, typing.Any] | None = None) -> Step:
+    """Return a step that accepts a version that is sent as the full state."""
 
     def step(node: voter.Voter) -> None:
         tables = {
@@ -100,12 +100,12 @@
 
 
 def begin_snapshot(node: voter.Voter) -> None:
-    """Begin a snapshot that is written in parts."""
+    """Begin a snapshot that is written in chunks."""
     node.persistence.begin_snapshot()
 
 
-def write_next_part(node: voter.Voter) -> None:
-    """Write the next part of the snapshot that was begun."""
+def write_next_chunk(node: voter.Voter) -> None:
+    """Write the next chunk of the snapshot that was begun."""
     node.timer_snapshot()
 
 
@@ -118,7 +118,7 @@
     accept_rows(1, 4),
     raise_term(2, 'b'),
     accept_rows(2, 5),
-    accept_whole(2, 9),
+    accept_full_state(2, 9),
     accept_rows(2, 10),
     raise_term(3, 'c'),
     accept_rows(3, 11),
@@ -126,39 +126,39 @@
     accept_rows(3, 13),
     raise_term(4, 'a'),
 ]
-# The same over a state that is larger than many changes: their files are gathered into segments.
+# The same with a state that is larger than many changes, so that the files of changes are merged into segments.
 LARGE_STATE: list[Step] = [
     write_identity,
     raise_term(1, 'a'),
-    accept_whole(1, 9, {f'large-{number}': 'x' * 100 for number in range(20)}),
+    accept_full_state(1, 9, {f'large-{number}': 'x' * 100 for number in range(20)}),
     *(accept_rows(1, number) for number in range(10, 15)),
     raise_term(2, 'b'),
     *(accept_rows(2, number) for number in range(15, 19)),
 ]
-# The same with a snapshot written in parts while changes go on, and a second one dropped half-way.
-LARGE_STATE_IN_PARTS: list[Step] = [
+# The same with a snapshot written in chunks while changes are made, and a second one abandoned half-way.
+LARGE_STATE_CHUNKED: list[Step] = [
     *LARGE_STATE[:6],
     begin_snapshot,
-    write_next_part,
+    write_next_chunk,
     accept_rows(1, 13),
-    write_next_part,
+    write_next_chunk,
     accept_rows(1, 14),
-    write_next_part,
+    write_next_chunk,
     accept_rows(1, 15),
     begin_snapshot,
-    write_next_part,
+    write_next_chunk,
     raise_term(2, 'b'),
-    accept_whole(2, 19),
+    accept_full_state(2, 19),
     accept_rows(2, 20),
     accept_rows(2, 21),
 ]
-# What a voter does after it started again on a folder that a loss of power left.
+# The steps of a voter that was restarted on a folder that a loss of power left.
 AFTER_RESTART: list[Step] = [
     write_identity,
     lambda node: node.raise_term(node.term + 1, 'b'),
     accept_next_rows,
     accept_next_rows,
     lambda node: node.raise_term(node.term + 1, 'c'),
-    lambda node: accept_whole(node.term, node.replica.accepted[1] + 1)(node),
+    lambda node: accept_full_state(node.term, node.replica.accepted[1] + 1)(node),
     accept_next_rows,
 ]
--- a/features/support/voter_host.py
+++ b/features/support/voter_host.py
@@ -1,4 +1,4 @@
-"""A control node a under test whose other voters, b and c, are played by the scenario."""
+"""A control node a under test; the scenario sends the frames of the other voters, b and c."""
 
 import random
 
@@ -13,12 +13,12 @@
 
 
 def parse_version(text: str) -> tuple[int, ...]:
-    """A version that is written as TERM.NUMBER."""
+    """Parse a version that is written TERM.NUMBER."""
     return tuple(int(number) for number in text.split('.'))
 
 
 def new_host(files: dict[str, str], node: str = 'a') -> machine_host.MachineHost:
-    """A host whose control node starts with the files of its data folder."""
+    """Return a host whose control node starts with the files of its data folder."""
     machine = controller.Controller(machine_host.location_of(node), settings.Settings(), random.Random(SEED), files)
     host = machine_host.MachineHost(machine)
     host.feed('start')
@@ -26,7 +26,7 @@
 
 
 def introduce(host: machine_host.MachineHost, *nodes: str) -> None:
-    """Let nodes answer a probe, so that the machine knows them."""
+    """Let nodes respond to a probe, so that the machine knows them."""
     for node in nodes:
         row = machine_host.member_row(node, 'c')
         host.recv(node, 'probe_re', member=row, term=0, master=None, partners=[], seeds=[])
@@ -46,12 +46,12 @@
 
 
 def in_flight(host: machine_host.MachineHost) -> list:
-    """The publications of the leader that are not committed yet."""
+    """Return the publications of the leader that are not committed yet."""
     return host.machine.leadership.replication.in_flight
 
 
 def newest_publication(host: machine_host.MachineHost) -> tuple[int, int]:
-    """The version that the leader published last, which is not committed yet."""
+    """Return the version of the leader's newest publication, which is not committed yet."""
     return in_flight(host)[-1].version
 
 
@@ -60,8 +60,8 @@
     host.recv('b', 'pub_re', term=host.machine.term, at=version, ok=True, accepted=version)
 
 
-def answer_heartbeats(host: machine_host.MachineHost, accepted: tuple[int, int] | None = None) -> None:
-    """Let b answer the heartbeats of the last input; it says what it has accepted, by default all."""
+def respond_to_heartbeats(host: machine_host.MachineHost, accepted: tuple[int, int] | None = None) -> None:
+    """Let b respond to the heartbeats of the last input with its accepted version, by default the newest."""
     for frame in host.sent('chk'):
         host.recv(
             'b',
--- a/features/support/voting_world.py
+++ b/features/support/voting_world.py
@@ -14,14 +14,14 @@
 SEEDS = (1, 2, 3)
 # How long a cluster may need until a leader commits something after a loss.
 RECOVERY_LIMIT_MS = 5000
-# How long a run waits for that at most.
+# How long a run waits for that commit at most.
 RECOVERY_WAIT = ms(20000)
-# A wiped process is back after this time.
-WIPED_AWAY = ms(800)
-# Between two losses that must both be borne.
+# A wiped process is started again after this time.
+WIPE_DOWNTIME = ms(800)
+# The time between two losses that the cluster must both tolerate.
 BETWEEN_LOSSES = ms(3000)
-# Voters are an odd number, and no more than these.
-MOST_VOTERS = 5
+# The number of voters is odd, and not above this.
+MAX_VOTERS = 5
 
 
 class VotingSet(typing.TypedDict):
@@ -32,12 +32,12 @@
 
 
 def settled_size(control_nodes: int) -> int:
-    """How many of so many control nodes vote: all, or one fewer where that is an even number."""
+    """Return how many control nodes vote once the voting set is settled: all, or one fewer if their number is even."""
     return control_nodes - 1 + control_nodes % 2
 
 
 def form(seed: int, voters: int, spares: int = 0) -> world.World:
-    """A small deployment whose first `voters` control nodes form the cluster; spares start once it runs."""
+    """Form the cluster of a small deployment from its first `voters` control nodes; spares start once it runs."""
     simulated = world.World(seed)
     deployment = client_deployment.Deployment(simulated, {**deployments.PRESETS['small'], 'cores': voters})
     deployment.start()
@@ -45,62 +45,62 @@
         zone = deployment.cells[index % len(deployment.cells)]
         simulated.add(f'spare{index}', 'core', zone, deployment.seeds).start()
     simulated.run(ms(12000), lambda: False)
-    size = settled_size(min(MOST_VOTERS, voters + spares))
+    size = settled_size(min(MAX_VOTERS, voters + spares))
     has_settled = simulated.run(ms(20000), lambda: is_settled(simulated, size))
     assert has_settled, (seed, voting_set(simulated))
     return simulated
 
 
 def voting_set(simulated: world.World) -> VotingSet | None:
-    """The leader's accepted voting set; None without a leader."""
+    """Return the leader's accepted voting set; None without a leader."""
     leader = simulated.leader()
     return leader.machine.voting_set() if leader else None
 
 
 def leaders_voting_set(simulated: world.World) -> VotingSet:
-    """The leader's accepted voting set; raises AssertionError without a leader."""
+    """Return the leader's accepted voting set; raises AssertionError without a leader."""
     current = voting_set(simulated)
     assert current is not None, 'nobody leads'
     return current
 
 
 def committed_voting_set(node: simulated_node.Node) -> VotingSet:
-    """The voting set of the newest version that a node knows to be committed."""
+    """Return the voting set of the newest version that a node knows to be committed."""
     return node.machine.replica.get('meta', 'vc')
 
 
 def is_joint(configuration: VotingSet) -> bool:
-    """Whether a change of the voting set is under way."""
+    """True if a change of the voting set is in progress."""
     return configuration['committed'] != configuration['accepted']
 
 
 def is_settled(simulated: world.World, size: int) -> bool:
-    """Whether the voting set has a size, and no change is under way."""
+    """True if the voting set has this size, and no change of it is in progress."""
     current = voting_set(simulated)
     return current is not None and not is_joint(current) and len(current['accepted']) == size
 
 
 def voters_of(simulated: world.World) -> list[simulated_node.Node]:
-    """The processes that vote and are up, the leader first."""
+    """Return the voters that are up, the leader first."""
     identities = leaders_voting_set(simulated)['accepted']
     nodes = [node for node in simulated.of('core') if node.up and node.machine.node in identities]
     return sorted(nodes, key=lambda node: (node is not simulated.leader(), node.name))
 
 
 def newest_commit(simulated: world.World) -> tuple[int, int]:
-    """The newest version that any control node knows to be committed."""
+    """Return the newest version that any control node knows to be committed."""
     return max(node.machine.replica.committed for node in simulated.of('core') if node.machine)
 
 
 def lose_power_for_good(node: simulated_node.Node) -> None:
-    """Cut a machine's power; nothing resets its connections, and it never comes back."""
+    """Cut a machine's power; its connections are not reset, and it never comes back."""
     node.world.isolate(node.name)
     node.destroyed = True
     node.kill(power=True)
 
 
 def recovery_time_ms(simulated: world.World, victims: list[simulated_node.Node]) -> int | None:
-    """Victims lose power for good; ms until a leader commits something, None if none does."""
+    """Cut the victims' power for good; return the ms until a leader commits something, or None if none does."""
     before = newest_commit(simulated)
     for victim in victims:
         lose_power_for_good(victim)
@@ -115,7 +115,7 @@
 
 
 def assert_recovers(simulated: world.World, victim: simulated_node.Node) -> None:
-    """A victim loses power for good, and a leader commits something in time."""
+    """Cut a victim's power for good; fail unless a leader commits something within RECOVERY_LIMIT_MS."""
     took_ms = recovery_time_ms(simulated, [victim])
     assert took_ms is not None and took_ms <= RECOVERY_LIMIT_MS, (simulated.seed, took_ms, voting_set(simulated))
 
@@ -127,20 +127,20 @@
 
 
 def wipe(simulated: world.World, node: simulated_node.Node) -> None:
-    """A process loses power and disk; it is back empty under the same address after a while."""
+    """Cut a process's power and wipe its disk; it restarts with the same address after WIPE_DOWNTIME."""
     node.kill(power=True)
     node.disk = simulated_disk.Disk()
-    simulated.after(WIPED_AWAY, node.start)
+    simulated.after(WIPE_DOWNTIME, node.start)
 
 
-def can_bear_a_loss(simulated: world.World, without: str) -> bool:
-    """Whether a settled set without an identity has a majority, and one voter more, that answer."""
+def tolerates_a_loss(simulated: world.World, without: str) -> bool:
+    """True if the voting set is settled, excludes `without`, and has one more reachable voter than a majority."""
     leader = simulated.leader()
     if leader is None:
         return False
     current = committed_voting_set(leader)
     if is_joint(current) or without in current['accepted']:
         return False
-    answering = {leader.machine.node}
-    answering |= {identity for identity, peer in leader.machine.peers.items() if peer.role == 'core'}
-    return len(answering & set(current['accepted'])) > len(current['accepted']) // 2 + 1
+    reachable = {leader.machine.node}
+    reachable |= {identity for identity, peer in leader.machine.peers.items() if peer.role == 'core'}
+    return len(reachable & set(current['accepted'])) > len(current['accepted']) // 2 + 1
