--- a/zinctrail/simulation/open_actors/__init__.py
+++ b/zinctrail/simulation/open_actors/__init__.py
@@ -1,7 +1,8 @@
-"""Who uses the system by its open traffic: nobody here links a library of ours.
+"""Users of the system over plain HTTP (open traffic); none of them uses the zinctrail library.
 
-Endpoints give back the id and a stamp and refuse requests for another
-incarnation; clients look fronts up, send to them and retry by the rules of
-PROTOCOL.md; operators change items; applications call without ids. Each notes
-only what it did and saw itself; simulation.open_checks judges from those notes.
+Endpoints return the request id and a stamp, and refuse requests for another
+incarnation. Clients look up ingresses, send requests to them and retry by the
+rules of PROTOCOL.md. Operators change configuration items. Applications make
+coordination calls without ids. Each actor records only what it did and observed
+itself; simulation.open_checks judges a scenario by these records.
 """
--- a/zinctrail/simulation/open_actors/application.py
+++ b/zinctrail/simulation/open_actors/application.py
@@ -1,4 +1,4 @@
-"""An application that calls for locks, numbers, cells and watches, without ids and without a library."""
+"""An application that uses locks, numbers, cells and watches over HTTP, without ids and without the client library."""
 
 import datetime
 import random
@@ -21,12 +21,15 @@
 CALL_LENGTH = ms(3000)
 CALL_TIMEOUT = ms(1000)
 WATCH_WAIT_MS = 1500
-# How long an application waits before it watches on, in ms: sometimes long, since history must reach back.
+# Pauses before the next watch, in ms. The long one checks how far back the history of events reaches.
 WATCH_PAUSES_MS = (0, 0, 300, 17000)
 
 
 class Application:
-    """Works in five loops at once until it is switched off; `every` is the mean pause of each."""
+    """Runs five concurrent loops of calls until it is switched off.
+
+    :param every: the mean pause between two iterations of each loop.
+    """
 
     def __init__(
         self, deployment: 'open_deployment.Deployment', name: str, cell: str, every: datetime.timedelta = ms(150)
@@ -37,68 +40,68 @@
         self.every = every
         self.rng = random.Random(f'{self.world.seed}/{name}')
         self.on = False
-        # Values it has put, so that each is another.
+        # The number of values put so far; it makes each value unique.
         self.written = 0
         self.world.cells[name] = cell
 
     def start(self) -> None:
-        """Begin all five loops; each ends once the application is switched off."""
+        """Start all five loops; each ends once the application is switched off."""
         self.on = True
         for loop in (self.use_locks, self.take_numbers, self.put_cells, self.get_cells, self.watch_cells):
             loop().addErrback(lambda reason: reason.trap(GeneratorExit))
 
     def sleep(self, length: datetime.timedelta) -> defer.Deferred:
-        """A Deferred that fires after a length of virtual time."""
+        """Return a Deferred that fires after `length` of virtual time."""
         deferred: defer.Deferred = defer.Deferred()
         self.world.after(length, deferred.callback, None)
         return deferred
 
     def pause(self) -> defer.Deferred:
-        """A Deferred that fires after a random pause around the mean."""
+        """Return a Deferred that fires after a random pause around the mean."""
         return self.sleep(self.every * self.rng.uniform(0.5, 1.5))
 
     def call(self, path: str, body: dict, length: datetime.timedelta = CALL_LENGTH) -> defer.Deferred:
-        """A call until it has a clear answer: a Deferred of a deployment.Answer."""
+        """Send a call, retried until it has a conclusive response; return a Deferred of a deployment.Response."""
         deferred: defer.Deferred = defer.Deferred()
 
-        def answered(answer: 'open_deployment.Answer') -> None:
-            """Report a success to the deployment, and fire with the answer."""
-            if answer.status == 200:
-                self.deployment.work_accepted(answer.node)
-            deferred.callback(answer)
+        def on_response(response: 'open_deployment.Response') -> None:
+            """Report a success to the deployment, and fire with the response."""
+            if response.status == 200:
+                self.deployment.work_accepted(response.node)
+            deferred.callback(response)
 
         wait = CALL_TIMEOUT + ms(body.get('wait_ms', 0))
-        self.deployment.ask(self.name, 'POST', path, lambda: body, answered, length, final=FINAL, wait=wait)
+        self.deployment.ask(self.name, 'POST', path, lambda: body, on_response, length, final=FINAL, wait=wait)
         return deferred
 
     # -- locks ----------------------------------------------------------------
 
     @defer.inlineCallbacks
     def use_locks(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take a lock, renew it a few times, and release it, sleep past its end, or forget it."""
+        """Acquire locks; renew each a few times, then release it, let its lease expire, or abandon it."""
         while self.on:
             name = f'l{self.rng.randrange(LOCKS)}'
             lease_ms = self.rng.choice(LEASES_MS)
             body = {'name': name, 'holder': self.name, 'lease_ms': lease_ms}
-            answer = yield self.call('/v1/lock/hold', body)
-            until = answer.sent_at + ms(lease_ms)
-            if answer.status == 200 and self.world.now < until:
+            response = yield self.call('/v1/lock/hold', body)
+            until = response.sent_at + ms(lease_ms)
+            if response.status == 200 and self.world.now < until:
                 belief = open_notes.LockBelief(
                     name=name,
                     holder=self.name,
-                    fencing_token=answer.document['fence'],
+                    fencing_token=response.document['fence'],
                     since=self.world.now,
                     until=until,
-                    sent_at=answer.sent_at,
+                    sent_at=response.sent_at,
                 )
                 self.deployment.notes.locks.append(belief)
                 yield self.renew(belief, lease_ms)
-                yield self.let_go(belief, lease_ms)
+                yield self.release_or_abandon(belief, lease_ms)
             yield self.pause()
 
     @defer.inlineCallbacks
     def renew(self, belief: open_notes.LockBelief, lease_ms: int) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Renew a lock a few times, for as long as it is held."""
+        """Renew a lock up to three times, for as long as it is held."""
         for _ in range(self.rng.randrange(4)):
             yield self.sleep(min(ms(lease_ms) / 3, ms(800)))
             if self.world.now >= belief.until:
@@ -109,50 +112,52 @@
                 'fence': belief.fencing_token,
                 'lease_ms': lease_ms,
             }
-            answer = yield self.call('/v1/lock/renew', body)
-            if answer.status != 200 or self.world.now >= belief.until:
+            response = yield self.call('/v1/lock/renew', body)
+            if response.status != 200 or self.world.now >= belief.until:
                 self.stop_believing(belief)
                 break
-            belief.until = max(belief.until, answer.sent_at + ms(lease_ms))
+            belief.until = max(belief.until, response.sent_at + ms(lease_ms))
 
     @defer.inlineCallbacks
-    def let_go(self, belief: open_notes.LockBelief, lease_ms: int) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Release a lock, sleep past its end, or forget it."""
+    def release_or_abandon(
+        self, belief: open_notes.LockBelief, lease_ms: int
+    ) -> typing.Generator[typing.Any, typing.Any, None]:
+        """Release a lock, let its lease expire, or abandon it."""
         draw = self.rng.random()
         if draw < 0.6:
             self.stop_believing(belief)
             body = {'name': belief.name, 'holder': self.name, 'fence': belief.fencing_token}
             yield self.call('/v1/lock/yield', body)
         elif draw < 0.8:
-            # It sleeps past its time, or died while holding and comes back under its name.
+            # A holder that sleeps past the end of its lease, or that crashed and came back under the same name.
             yield self.sleep(ms(lease_ms) * self.rng.uniform(0.5, 1.5))
             self.stop_believing(belief)
         else:
             self.stop_believing(belief)
 
     def stop_believing(self, belief: open_notes.LockBelief) -> None:
-        """From now on it does not believe that it holds the lock."""
+        """End the span in which the application believes that it holds the lock."""
         belief.stop(self.world.now)
 
     # -- numbers and cells --------------------------------------------------------
 
     @defer.inlineCallbacks
     def take_numbers(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take the next number, again and again."""
+        """Take the next number of the counter in a loop."""
         while self.on:
-            answer = yield self.call('/v1/number/step', {'name': 'n'})
-            if answer.status == 200:
-                number = open_notes.Number(answer.sent_at, self.world.now, answer.document['number'])
+            response = yield self.call('/v1/number/step', {'name': 'n'})
+            if response.status == 200:
+                number = open_notes.Number(response.sent_at, self.world.now, response.document['number'])
                 self.deployment.notes.numbers.append(number)
             yield self.pause()
 
     def random_cell(self) -> str:
-        """The name of a random coordination cell."""
+        """Return the name of a random coordination cell."""
         return f'g{self.rng.randrange(terms.GROUPS)}.{self.rng.randrange(terms.CELLS_A_GROUP)}'
 
     @defer.inlineCallbacks
     def put_cells(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Put values over the revisions that it last knew."""
+        """Put values into random cells, each conditional on the last known revision."""
         known: dict[str, int] = {}
         while self.on:
             name = self.random_cell()
@@ -165,42 +170,42 @@
             )
             self.deployment.notes.puts.append(put)
             body = {'name': name, 'value': put.value, 'rev': put.expected_revision}
-            answer = yield self.call('/v1/cell/put', body)
+            response = yield self.call('/v1/cell/put', body)
             put.answered_at = self.world.now
-            put.status = answer.status
-            put.statuses = list(answer.statuses)
-            if answer.status == 200:
-                known[name] = answer.document['rev']
+            put.status = response.status
+            put.statuses = list(response.statuses)
+            if response.status == 200:
+                known[name] = response.document['rev']
                 put.revision = known[name]
-            elif answer.status == 409:
-                known[name] = answer.document['rev']
+            elif response.status == 409:
+                known[name] = response.document['rev']
                 put.named_revision = known[name]
             yield self.pause()
 
     @defer.inlineCallbacks
     def get_cells(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Read a random cell, again and again."""
+        """Read random cells in a loop."""
         while self.on:
             yield self.get(self.random_cell())
             yield self.pause()
 
     @defer.inlineCallbacks
     def get(self, name: str) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Read a cell and note what it showed."""
-        answer = yield self.call('/v1/cell/get', {'name': name})
-        if answer.status in (200, 404):
+        """Read a cell and record its value and revision."""
+        response = yield self.call('/v1/cell/get', {'name': name})
+        if response.status in (200, 404):
             get = open_notes.Get(
                 name=name,
-                sent_at=answer.sent_at,
+                sent_at=response.sent_at,
                 answered_at=self.world.now,
-                value=answer.document.get('value'),
-                revision=answer.document.get('rev', 0),
+                value=response.document.get('value'),
+                revision=response.document.get('rev', 0),
             )
             self.deployment.notes.gets.append(get)
 
     @defer.inlineCallbacks
     def watch_cells(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Watch groups of cells, on and on from the last revision that it was given."""
+        """Watch random groups of cells, each from the last revision received for it."""
         since: dict[str, int] = {}
         given_at: dict[str, datetime.timedelta] = {}
         while self.on:
@@ -209,20 +214,20 @@
             yield self.sleep(ms(self.rng.choice(WATCH_PAUSES_MS)))
             sent_at = self.world.now
             body = {'group': group, 'since': after, 'wait_ms': WATCH_WAIT_MS}
-            answer = yield self.call('/v1/cell/watch', body)
+            response = yield self.call('/v1/cell/watch', body)
             watch = open_notes.Watch(
                 group=group,
                 since=after,
                 given_at=given_at.get(group),
                 sent_at=sent_at,
                 answered_at=self.world.now,
-                status=answer.status,
-                revision=answer.document.get('rev'),
-                events=answer.document.get('events', []),
+                status=response.status,
+                revision=response.document.get('rev'),
+                events=response.document.get('events', []),
             )
             self.deployment.notes.watches.append(watch)
-            if answer.status == 200:
-                since[group] = answer.document['rev']
+            if response.status == 200:
+                since[group] = response.document['rev']
                 given_at[group] = self.world.now
-            elif answer.status == 410:
+            elif response.status == 410:
                 since[group] = 0
--- a/zinctrail/simulation/open_actors/client.py
+++ b/zinctrail/simulation/open_actors/client.py
@@ -1,4 +1,4 @@
-"""A client: looks fronts up and sends requests to them, as PROTOCOL.md says of clients."""
+"""A client that looks up ingresses and sends requests to them, by the rules of PROTOCOL.md for clients."""
 
 import dataclasses
 import datetime
@@ -18,16 +18,17 @@
 
 LOOKUP_TIMEOUT = ms(1000)
 LOOKUP_ATTEMPTS = 3
-# How long a client uses an answer at most, how soon it asks again after a failure, and how long it avoids a bad front.
-LOOKUP_VALID_MOST = ms(5000)
+# The maximum validity of a lookup response, the delay before a failed lookup is repeated, and how long a client
+# avoids an ingress that failed.
+MAX_LOOKUP_VALIDITY = ms(5000)
 LOOKUP_RETRY = ms(500)
-FRONT_AVOIDED = ms(2000)
-RETRIES_MOST = 2
+INGRESS_AVOIDANCE = ms(2000)
+MAX_RETRIES = 2
 
 
 @dataclasses.dataclass(slots=True)
 class Lookup:
-    """What a client knows of one host: addresses of fronts, until when it uses them, whether it asks anew."""
+    """A cached lookup of one host: ingress addresses, when they expire, and whether a new lookup is under way."""
 
     fronts: list[str] = dataclasses.field(default_factory=list)
     valid_until: datetime.timedelta = durations.ZERO
@@ -35,42 +36,43 @@
 
 
 class Client:
-    """Sends requests at a steady rate.
+    """Sends requests at random intervals with a constant mean rate.
 
-    :param rate: requests a second.
-    :param holds: for how many times its validity it uses an answer.
+    :param rate: the mean number of requests per second.
+    :param holds: the client uses a lookup response for this multiple of its validity.
     """
 
     def __init__(
-        self, deployment: 'open_deployment.Deployment', name: str, cell: str, rate: float, holds: int = 1
+        self, deployment: 'open_deployment.Deployment', name: str, cell: str, rate: float, validity_factor: int = 1
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
         self.name = name
         self.cell = cell
         self.rate = rate
-        self.holds = holds
+        self.validity_factor = validity_factor
         self.rng = random.Random(f'{self.world.seed}/{name}')
-        # What it was told of each host, and until when each bad front is avoided.
+        # The cached lookup of each host, and until when each failed ingress is avoided.
         self.lookups: dict[str, Lookup] = {}
         self.avoided_until: dict[str, datetime.timedelta] = {}
-        # Further requests that it sends at once for each one that fails, past the rules.
+        # Extra retries sent immediately for each failed request, in breach of the protocol's rules.
         self.extra_repeats = 0
-        # Within what time it gives up a request that has no answer yet; None if it waits as long as its requests say.
+        # Upper bound of the random time after which the client abandons a request without a response; None if it waits
+        # until the request's deadline.
         self.patience: datetime.timedelta | None = None
         self.sent = 0
         self.on = False
         self.world.cells[name] = cell
 
     def start(self) -> None:
-        """Look the fronts of each host up, and send the first request soon after."""
+        """Look up the ingresses of each host, and send the first request soon after."""
         self.on = True
         for host in sorted({rule['host'] for rule in self.deployment.rules.values()}):
             self.look_up(host)
         self.world.after(ms(self.rng.uniform(500, 500 + 1000 / self.rate)), self.tick)
 
     def look_up(self, host: str, attempts: int = LOOKUP_ATTEMPTS) -> None:
-        """Ask a control node for the fronts of a host, the first time one nearby."""
+        """Ask a control node for the ingresses of a host; the first attempt prefers one in the client's zone."""
         lookup = self.lookups.setdefault(host, Lookup())
         lookup.is_asking = True
         nodes = self.world.of('core')
@@ -79,22 +81,22 @@
         body = json.dumps({'cell': self.cell, 'front': True, 'most': 64, 'host': host}).encode()
         deferred = self.world.fetch(self.name, node.location.http, 'POST', '/v1/answer', {}, body, LOOKUP_TIMEOUT)
 
-        def answered(result: effects.HttpResult) -> None:
-            """Note the answer to an attempt, and retry where that is allowed."""
+        def on_response(result: effects.HttpResult) -> None:
+            """Store the lookup response, or retry at another control node."""
             if result.status == 200:
                 document = json.loads(result.body)
                 lookup.fronts = document['proxies']
                 lookup.is_asking = False
                 self.avoided_until = {}
-                valid = min(ms(document['ttl_ms']), LOOKUP_VALID_MOST)
-                lookup.valid_until = self.world.now + valid * self.holds
+                valid = min(ms(document['ttl_ms']), MAX_LOOKUP_VALIDITY)
+                lookup.valid_until = self.world.now + valid * self.validity_factor
             elif attempts > 1:
                 self.look_up(host, attempts - 1)
             else:
                 lookup.is_asking = False
                 lookup.valid_until = self.world.now + LOOKUP_RETRY
 
-        deferred.addCallback(answered)
+        deferred.addCallback(on_response)
 
     def tick(self) -> None:
         """Send one request, and schedule the next."""
@@ -104,7 +106,7 @@
         self.send_one()
 
     def send_one(self, rule: dict | None = None) -> None:
-        """Send a request that a rule matches, a random one by default."""
+        """Send a request that matches a rule; the rule is random by default."""
         rule = rule or self.deployment.pick_rule(self.rng)
         if rule is None:
             return
@@ -121,10 +123,10 @@
             sent_at=self.world.now,
             until=self.world.now + ms(rule['timeout_ms']),
         )
-        self.attempt(request, RETRIES_MOST)
+        self.attempt(request, MAX_RETRIES)
 
     def attempt(self, request: open_notes.Request, retries: int) -> None:
-        """Send a request to a front once; what fails is retried as the rules allow."""
+        """Send one attempt of a request to an ingress; a failure is retried as the protocol's rules allow."""
         world = self.world
         lookup = self.lookups.setdefault(request.host, Lookup())
         if world.now >= lookup.valid_until and not lookup.is_asking:
@@ -154,9 +156,9 @@
         if self.patience is not None:
             wait = min(wait, self.patience * self.rng.random())
         deferred = world.fetch(self.name, front, request.method, request.path, headers, request.body, wait)
-        deferred.addCallback(self.answered, request, attempt, front, retries)
+        deferred.addCallback(self.on_response, request, attempt, front, retries)
 
-    def answered(
+    def on_response(
         self,
         result: effects.HttpResult,
         request: open_notes.Request,
@@ -164,7 +166,7 @@
         front: str,
         retries: int,
     ) -> None:
-        """Note the answer to an attempt, and retry where that is allowed."""
+        """Record the response to an attempt, and retry where that is allowed."""
         attempt.answered_at = self.world.now
         attempt.status = result.status
         attempt.fault = result.fault
@@ -175,12 +177,12 @@
             attempt.left_at = self.world.now
             return
         if not result.sent or result.fault == 'connection lost':
-            self.avoided_until[front] = self.world.now + FRONT_AVOIDED
+            self.avoided_until[front] = self.world.now + INGRESS_AVOIDANCE
         if self.may_retry(request, attempt, retries):
             self.retry(request, attempt, retries)
 
     def may_retry(self, request: open_notes.Request, attempt: open_notes.Attempt, retries: int) -> bool:
-        """Whether PROTOCOL.md lets a client retry after this answer."""
+        """True if PROTOCOL.md allows a client to retry after this response."""
         is_answered = not attempt.fault
         status = attempt.status or 0
         is_final = is_answered and (200 <= status < 300 or status in terms.FINAL)
@@ -190,10 +192,10 @@
         return has_not_run or not request.runs_once
 
     def retry(self, request: open_notes.Request, attempt: open_notes.Attempt, retries: int) -> None:
-        """Schedule the next attempt, and with it the repeats of a client that abuses retries."""
+        """Schedule the next attempt, and the extra retries of a client that abuses retries."""
         world = self.world
         for _ in range(self.extra_repeats):
-            # Without a retry of its own: each of these is one repeat at once, and no more.
+            # An extra retry is not retried itself: each is a single immediate attempt.
             world.after(ms(self.rng.uniform(0, 50)), self.attempt, request, 0)
         wait = ms(self.rng.uniform(1, 30))
         retry_after = attempt.headers.get('retry-after')
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment's processes and users in one world, on days of open traffic."""
+"""A deployment of processes and users in one simulated world, for scenarios of open traffic."""
 
 import datetime
 import json
@@ -25,26 +25,26 @@
 CONFIGURATION_TIMEOUT = ms(30000)
 CALL_TIMEOUT = ms(1000)
 FINAL = (200, 400, 404, 405, 409, 410, 413, 422)
-CLIENTS_PER_CELL = 3
-# For how many times its validity the clients of a cell use an answer: one of three is lazy.
-CLIENT_HOLDS = (1, 1, 3)
+CLIENTS_PER_ZONE = 3
+# Each zone's clients use a lookup response for this multiple of its validity: one of three keeps it too long.
+CLIENT_VALIDITY_FACTORS = (1, 1, 3)
 
 
-class Answer(typing.NamedTuple):
-    """What a call came to, after all its attempts: status 0 where none was answered."""
+class Response(typing.NamedTuple):
+    """The final response to a call after all its attempts; status 0 if no attempt got a response."""
 
     status: int
     document: dict
-    # The node that answered, when the last attempt was sent, and the statuses of all.
+    # The node that the last attempt was sent to, when it was sent, and the statuses of all attempts.
     node: str
     sent_at: datetime.timedelta
     statuses: tuple[int, ...]
 
 
 class Deployment:
-    """Processes, endpoints and users of a shape of terms.SHAPES."""
+    """The processes, endpoints and users of a deployment with one of the shapes in terms.SHAPES."""
 
-    # Who was in contact, and when; open_checks.run sets it before the checkers run.
+    # Which processes were in contact with the control nodes, and when; open_checks.run sets it before the checkers run.
     contact: 'open_contact.Contact'
 
     def __init__(self, world: 'open_world.World', shape: terms.Shape) -> None:
@@ -55,13 +55,13 @@
         self.endpoints: list[open_endpoint.Endpoint] = []
         self.clients: list[open_client.Client] = []
         self.applications: list[open_application.Application] = []
-        # Attempts of clients by request id.
+        # The clients' attempts by request id.
         self.by_id: dict[str | None, open_notes.Attempt] = {}
-        # Called with the name of a node that has acknowledged an order, or an application's call.
+        # Called with the name of a node that acknowledged an operator's command, or an application's call.
         self.on_acknowledged: typing.Callable[[str], typing.Any] | None = None
         self.on_work_accepted: typing.Callable[[str], typing.Any] | None = None
         self.version = 3
-        # The rules that clients go by, by name.
+        # The rules that clients send requests for, by name.
         self.rules: dict[str, dict] = {}
         for role, count in (('core', shape['cores']), ('prox', shape['proxies'])):
             for number in range(count):
@@ -71,7 +71,7 @@
         self.seeds = [world.nodes[f'core{i}'].location.addr for i in range(3)]
         for node in world.nodes.values():
             node.location.seeds = list(self.seeds)
-        # The control nodes that callers know of.
+        # The names of the control nodes that callers know of.
         self.listed: list[str] = []
         for service in terms.SERVICES:
             for number in range(shape['ends']):
@@ -79,11 +79,11 @@
         self.operator = open_operator.Operator(self)
 
     def cell_number(self, number: int) -> str:
-        """The name of a zone, counted round and round."""
+        """Return the name of the zone at an index; the index wraps around."""
         return self.cells[number % len(self.cells)]
 
     def region_of(self, name: str) -> str:
-        """The region that a party stands in."""
+        """Return the region of a process, endpoint or user."""
         return self.world.cells[name].split('/')[0]
 
     def add_endpoint(self, service: str, cell: str, address: str | None = None) -> open_endpoint.Endpoint:
@@ -95,16 +95,16 @@
         return endpoint
 
     def of(self, service: str) -> list[open_endpoint.Endpoint]:
-        """The endpoints of a service that are up."""
+        """Return the endpoints of a service that are up."""
         return [endpoint for endpoint in self.endpoints if endpoint.service == service and endpoint.up]
 
     # -- calls ------------------------------------------------------------------
 
-    def keep_list(self) -> None:
-        """What callers know of who serves control is some time behind."""
+    def refresh_known_control_nodes(self) -> None:
+        """Refresh, every 500 ms, the control nodes that callers know of; callers see each change `seed_lag` later."""
         names = [node.name for node in self.world.of('core') if node.up]
         self.world.after(terms.TERMS.seed_lag, setattr, self, 'listed', names)
-        self.world.after(ms(500), self.keep_list)
+        self.world.after(ms(500), self.refresh_known_control_nodes)
 
     def ask(
         self,
@@ -112,31 +112,33 @@
         method: str,
         path: str,
         body: typing.Callable[[], bytes | dict | None],
-        callback: typing.Callable[[Answer], typing.Any],
+        callback: typing.Callable[[Response], typing.Any],
         length: datetime.timedelta,
         final: tuple[int, ...] = FINAL,
         wait: datetime.timedelta = CALL_TIMEOUT,
     ) -> None:
-        """A call, to one control node after another until there is a clear answer or `length` has gone.
+        """Send a call to random control nodes until it has a conclusive response or `length` has passed.
 
-        :param body: makes the body of each attempt.
+        :param body: called before each attempt; returns its body.
+        :param final: the statuses of a conclusive response.
+        :param wait: the timeout of one attempt.
         """
         world = self.world
         until = world.now + length
         statuses = []
 
         def attempt() -> None:
-            """Send the call to a random control node that callers know of."""
+            """Send the call to a random one of the control nodes that callers know of."""
             names = [name for name in self.listed if name in world.nodes] or [node.name for node in world.of('core')]
             node = world.nodes[world.rng.choice(names)]
             made = body()
             raw = made if isinstance(made, bytes) else json.dumps(made).encode() if made is not None else b''
             sent_at = world.now
             deferred = world.fetch(who, node.location.http, method, path, {}, raw, wait)
-            deferred.addCallback(answered, node.name, sent_at)
+            deferred.addCallback(on_response, node.name, sent_at)
 
-        def answered(result: effects.HttpResult, node: str, sent_at: datetime.timedelta) -> None:
-            """Pass on a clear answer, and retry with backoff after any other."""
+        def on_response(result: effects.HttpResult, node: str, sent_at: datetime.timedelta) -> None:
+            """Pass on a conclusive response; retry with exponential backoff after any other."""
             status = 0 if result.fault else result.status
             statuses.append(status)
             try:
@@ -144,31 +146,31 @@
             except ValueError:
                 document = {}
             if status in final or world.now >= until:
-                callback(Answer(status, document, node, sent_at, tuple(statuses)))
+                callback(Response(status, document, node, sent_at, tuple(statuses)))
             else:
                 world.after(ms(min(1000, 40 * 2 ** len(statuses))), attempt)
 
         attempt()
 
     def acknowledged(self, node: str) -> None:
-        """Report that a node acknowledged an order."""
+        """Report that a node acknowledged a command."""
         if self.on_acknowledged:
             self.on_acknowledged(node)
 
     def work_accepted(self, node: str) -> None:
-        """Report that a node answered an application's call with success."""
+        """Report that a node responded to an application's call with success."""
         if self.on_work_accepted:
             self.on_work_accepted(node)
 
     # -- configuration --------------------------------------------------------------
 
     def next_version(self) -> int:
-        """A version for an item, above all that were given before."""
+        """Return a version for an item, higher than all earlier ones."""
         self.version += self.world.rng.choice((1, 2, 5))
         return self.version
 
     def first_items(self) -> dict:
-        """The items that a day begins with."""
+        """Return the configuration items that a scenario begins with."""
         version = self.next_version()
         pools = [
             {
@@ -197,7 +199,7 @@
             }
             for name, service in terms.SERVICES.items()
         ]
-        # Two prefixes on one host: the longest that fits is the rule.
+        # Two prefixes on one host: the rule with the longest matching prefix applies.
         rules.append(dict(rules[0], name='r-deep', prefix='/search/deep/', pool='sync'))
         limits = {
             'version': version,
@@ -209,7 +211,7 @@
         return {'rules': rules, 'pools': pools, 'limits': limits}
 
     def pick_rule(self, rng: random.Random) -> dict | None:
-        """A random rule that clients send requests for."""
+        """Return a random rule that clients send requests for, or None if there is none."""
         rules = [rule for rule in self.rules.values() if rule.get('lively', True)]
         return rng.choice(rules) if rules else None
 
@@ -221,13 +223,13 @@
         lively: bool = True,
         callback: typing.Callable[[int], typing.Any] = open_operator.ignore,
     ) -> None:
-        """Change and drop rules; clients go by them once the change is acknowledged.
+        """Change and drop rules; clients use the new rules once the change is acknowledged.
 
-        :param lively: whether clients send requests for these rules of their own accord.
+        :param lively: whether clients draw these rules for their own requests.
         """
 
-        def answered(status: int) -> None:
-            """Let clients go by the rules once they are in force."""
+        def on_response(status: int) -> None:
+            """Let clients use the rules once they are acknowledged."""
             if status == 200:
                 for row in rows:
                     if row['version'] >= self.rules.get(row['name'], row)['version']:
@@ -237,31 +239,31 @@
             callback(status)
 
         drops = {'rules': [{'name': row['name'], 'version': row['version']} for row in drop]}
-        (operator or self.operator).change({'rules': rows}, drops, answered)
+        (operator or self.operator).change({'rules': rows}, drops, on_response)
 
-    # -- the day's beginning and end ----------------------------------------------------
+    # -- start and end of the scenario ----------------------------------------------------
 
     def start(self) -> None:
-        """Start everything: a leader, the first items acknowledged, endpoints known.
+        """Start all processes and endpoints; return once there is a leader and the first items are acknowledged.
 
-        :raises AssertionError: there is no leader, or the items were not accepted.
+        :raises AssertionError: if no leader is elected or the items are not accepted.
         """
         world = self.world
         for node in world.nodes.values():
             world.after(ms(world.rng.uniform(0, 300)), node.start)
-        self.keep_list()
+        self.refresh_known_control_nodes()
         if not world.run(START_TIMEOUT, lambda: world.leader() is not None):
             raise AssertionError(f'no leader: seed {world.seed}')
         statuses = []
         items = self.first_items()
 
-        def answered(status: int) -> None:
-            """Note the status, and let clients go by the first rules."""
+        def on_response(status: int) -> None:
+            """Record the status, and let clients use the first rules."""
             statuses.append(status)
             if status == 200:
                 self.rules = {rule['name']: rule for rule in items['rules']}
 
-        self.operator.change(items, None, answered)
+        self.operator.change(items, None, on_response)
         for endpoint in self.endpoints:
             world.after(ms(world.rng.uniform(0, 1000)), endpoint.start, False)
         world.run(CONFIGURATION_TIMEOUT, lambda: bool(statuses))
@@ -270,30 +272,32 @@
         world.run(ms(4000))
 
     def start_clients(self, rate: float | None = None) -> None:
-        """Start clients in each cell that send `rate` requests a second in all."""
+        """Start clients in each zone that together send `rate` requests per second."""
         rate = rate or self.shape['rate']
-        count = len(self.cells) * CLIENTS_PER_CELL
+        count = len(self.cells) * CLIENTS_PER_ZONE
         for number in range(count):
-            holds = CLIENT_HOLDS[number // len(self.cells)]
-            client = open_client.Client(self, f'client{number}', self.cell_number(number), rate / count, holds)
+            validity_factor = CLIENT_VALIDITY_FACTORS[number // len(self.cells)]
+            client = open_client.Client(
+                self, f'client{number}', self.cell_number(number), rate / count, validity_factor
+            )
             self.clients.append(client)
             client.start()
 
     def start_applications(self, count: int = 3) -> None:
-        """Start applications, spread over the cells."""
+        """Start applications, spread over the zones."""
         for number in range(count):
             application = open_application.Application(self, f'app{number}', self.cell_number(number))
             self.applications.append(application)
             application.start()
 
     def stop_load(self, length: datetime.timedelta = ms(6000)) -> None:
-        """Switch clients and applications off, and run until what is under way has ended."""
+        """Switch off clients and applications, and run on for `length` so that requests in progress end."""
         for user in self.clients + self.applications:
             user.on = False
         self.world.run(length)
 
     def tally(self) -> dict[str, int]:
-        """How many attempts ended in which status."""
+        """Return the number of attempts by status: 'ok' for a success, 'none' for no response."""
         counts: dict[str, int] = {}
         for attempt in self.notes.attempts:
             status = attempt.status
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that links no library of ours: it works, waits, refuses, and fails in several ways."""
+"""An endpoint that does not use the zinctrail library: it runs, queues and refuses requests, and fails on demand."""
 
 import dataclasses
 import datetime
@@ -15,22 +15,22 @@
 
 ms = durations.ms
 
-HEARTBEAT_TIMEOUT = ms(1400)
-# How long after a refusal to drain it signs off.
-SIGN_OFF_AFTER_REFUSAL = ms(2000)
-LEAVE_TIMEOUT = ms(3000)
-# How much longer work takes while it is cold.
-COLD_FACTOR = 3
-# The spread of work times, and how many times the mean they are at most.
-WORK_SPREAD = (-0.15, 0.55)
-WORK_MOST = 20
-USUAL_LEFT_MS = 3000
-# How old an answer may be that comes a second time in the place of another.
-DUPLICATE_MOST = ms(1000)
+HEARTBEAT_RETRY_LIMIT = ms(1400)
+# The delay before an endpoint whose drain was refused deregisters.
+DEREGISTER_AFTER_REFUSAL = ms(2000)
+DEREGISTER_TIMEOUT = ms(3000)
+# How many times as long work takes while the endpoint is warming up.
+WARM_UP_WORK_FACTOR = 3
+# The mu and sigma of the log-normal factor on work times, and the maximum work time as a multiple of work_ms.
+WORK_FACTOR_DISTRIBUTION = (-0.15, 0.55)
+MAX_WORK_FACTOR = 20
+DEFAULT_REMAINING_MS = 3000
+# The maximum age of a response that is sent a second time in place of another.
+MAX_DUPLICATE_AGE = ms(1000)
 
 
-class Waiting(typing.NamedTuple):
-    """A request that waits for a free slot."""
+class QueuedRequest(typing.NamedTuple):
+    """A queued request that waits for a free slot."""
 
     arrival: open_notes.Arrival
     headers: dict[str, str]
@@ -39,7 +39,7 @@
 
 
 class Endpoint:
-    """A server of one service, at one address; each start is a new incarnation."""
+    """A server of one service at one address; each start is a new incarnation."""
 
     def __init__(
         self, deployment: 'open_deployment.Deployment', name: str, address: str, service: str, cell: str, slots: int
@@ -51,33 +51,33 @@
         self.service = service
         self.cell = cell
         self.slots = slots
-        self.queue_most = slots * 4
-        # incarnation counts starts and ends; incarnation_id is the name that it is sent requests under.
+        self.max_queue_length = slots * 4
+        # incarnation counts starts and ends; incarnation_id identifies the incarnation in heartbeats and requests.
         self.up = False
         self.incarnation = 0
         self.incarnation_id = ''
         self.sequence = 0
         self.state = 'ready'
-        self.cold_until = durations.ZERO
+        self.warm_up_ends_at = durations.ZERO
         self.work_ms = terms.SERVICES[service].work_ms
         self.resets_when_full = terms.SERVICES[service].resets_when_full
-        # Chances of a spoilt answer.
+        # The probabilities of a lost, truncated, malformed or duplicate response.
         self.loss_chance = self.truncation_chance = self.malformed_chance = self.duplicate_chance = 0.0
-        # An answer that is to come a second time, and when it was first given.
+        # A response that is to be sent a second time, and when it was first sent.
         self.duplicate: tuple[effects.HttpResult, datetime.timedelta] | None = None
-        # How a share of the requests fails while the health answer is good: one of FAILURE_MODES.
+        # How a share of the requests fails while health checks pass: a key of FAILURE_MODES.
         self.failure_mode: str | None = None
         self.failure_share = 0.0
-        # Whether the health answer is bad though all is well.
+        # Whether health checks fail although the endpoint works.
         self.reports_unhealthy = False
-        # How long a connection may rest before it is dropped without notice.
+        # How long a connection may be idle before the endpoint drops it without notice.
         self.idle_limit: datetime.timedelta | None = None
         self.world.cells[name] = cell
 
-    # -- life ---------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------
 
     def start(self, cold: bool = True) -> None:
-        """Start a new incarnation, unless it is up."""
+        """Start a new incarnation, unless the endpoint is up."""
         if self.up:
             return
         self.incarnation += 1
@@ -86,26 +86,26 @@
         self.sequence = 0
         self.duplicate = None
         self.incarnation_id = f'i-{self.name}-{self.incarnation}'
-        # Requests at work, those that wait, and, by id, the callbacks of the first and what is noted of them.
+        # The number of running requests, the queue, and the running requests' callbacks and records by request id.
         self.running = 0
-        self.waiting: list[Waiting] = []
+        self.queue: list[QueuedRequest] = []
         self.open: dict[str | None, typing.Callable] = {}
         self.work: dict[str | None, open_notes.Work] = {}
-        self.cold_until = self.world.now
+        self.warm_up_ends_at = self.world.now
         if cold:
             self.become_cold()
         self.world.endpoints[self.address] = self
         self.send_heartbeat(self.incarnation)
 
     def become_cold(self) -> None:
-        """Be cold from now on, for COLD_S seconds."""
-        self.cold_until = self.world.now + ms(1000 * terms.COLD_S)
+        """Begin a warm-up of COLD_S seconds."""
+        self.warm_up_ends_at = self.world.now + ms(1000 * terms.COLD_S)
         self.deployment.notes.cold_spans.append(
-            open_notes.ColdSpan(self.world.now, self.cold_until, self.incarnation_id)
+            open_notes.ColdSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
         )
 
     def kill(self, dark: bool = False) -> None:
-        """End at once; dark: nobody is told, connections stay silent."""
+        """End at once. With `dark`, connections stay open and silent instead of being closed."""
         if not self.up:
             return
         self.up = False
@@ -121,12 +121,12 @@
 
     # -- heartbeats -----------------------------------------------------------
 
-    def cold_ms(self) -> int:
-        """How long it is still cold, in ms."""
-        return max(0, durations.to_ms(self.cold_until - self.world.now))
+    def remaining_warm_up_ms(self) -> int:
+        """Return the remaining warm-up time in ms."""
+        return max(0, durations.to_ms(self.warm_up_ends_at - self.world.now))
 
     def heartbeat(self) -> dict:
-        """The body of the next heartbeat."""
+        """Return the body of the next heartbeat."""
         self.sequence += 1
         return {
             'inc': self.incarnation_id,
@@ -136,17 +136,19 @@
             'slots': self.slots,
             'state': self.state,
             'seq': self.sequence,
-            'cold_ms': self.cold_ms(),
+            'cold_ms': self.remaining_warm_up_ms(),
         }
 
     def send_heartbeat(self, incarnation: int) -> None:
-        """Send a heartbeat, and go on sending them while this incarnation is ready."""
+        """Send a heartbeat now and after each interval, while this incarnation is ready."""
         if incarnation == self.incarnation and self.state == 'ready':
-            self.deployment.ask(self.name, 'POST', '/v1/beat', self.heartbeat, lambda answer: None, HEARTBEAT_TIMEOUT)
+            self.deployment.ask(
+                self.name, 'POST', '/v1/beat', self.heartbeat, lambda response: None, HEARTBEAT_RETRY_LIMIT
+            )
             self.world.after(self.world.settings.beat, self.send_heartbeat, incarnation)
 
     def drain(self, then: typing.Callable[[], typing.Any] | None = None) -> None:
-        """Say that it drains, serve on for its time, sign off and end; then call then()."""
+        """Announce draining, serve until the drain time is over, deregister and end; then call then()."""
         if not self.up or self.state != 'ready':
             return
         self.state = 'draining'
@@ -157,30 +159,30 @@
         order = open_notes.Order('drain', size=0, sent_at=world.now)
         notes.orders.append(order)
 
-        def drain_answered(answer: 'open_deployment.Answer') -> None:
-            """Note the answer, and sign off after the bound on late requests, or soon if it was refused."""
+        def on_drain_response(response: 'open_deployment.Response') -> None:
+            """Record the response; deregister after the bound on late requests, or soon if draining was refused."""
             order.answered_at = world.now
-            order.status = answer.status
+            order.status = response.status
             if incarnation != self.incarnation:
                 return
-            if answer.status == 200:
-                notes.states.append(open_notes.StateChange(world.now, answer.node, incarnation_id, 'draining'))
-                world.after(terms.TERMS.drain + terms.AFTER_DRAIN, self.sign_off, incarnation, then)
+            if response.status == 200:
+                notes.states.append(open_notes.StateChange(world.now, response.node, incarnation_id, 'draining'))
+                world.after(terms.TERMS.drain + terms.AFTER_DRAIN, self.deregister, incarnation, then)
             else:
-                world.after(SIGN_OFF_AFTER_REFUSAL, self.sign_off, incarnation, then)
+                world.after(DEREGISTER_AFTER_REFUSAL, self.deregister, incarnation, then)
 
-        self.deployment.ask(self.name, 'POST', '/v1/beat', self.heartbeat, drain_answered, terms.TERMS.ack)
+        self.deployment.ask(self.name, 'POST', '/v1/beat', self.heartbeat, on_drain_response, terms.TERMS.ack)
 
-    def sign_off(self, incarnation: int, then: typing.Callable[[], typing.Any] | None) -> None:
-        """Sign off and end, unless this incarnation has ended; then call then()."""
+    def deregister(self, incarnation: int, then: typing.Callable[[], typing.Any] | None) -> None:
+        """Deregister and end, unless this incarnation has ended; then call then()."""
         if incarnation != self.incarnation:
             return
         incarnation_id = self.incarnation_id
 
-        def leave_answered(answer: 'open_deployment.Answer') -> None:
-            """Note the answer, and end."""
-            if answer.status == 200:
-                change = open_notes.StateChange(self.world.now, answer.node, incarnation_id, 'gone')
+        def on_leave_response(response: 'open_deployment.Response') -> None:
+            """Record the response, and end."""
+            if response.status == 200:
+                change = open_notes.StateChange(self.world.now, response.node, incarnation_id, 'gone')
                 self.deployment.notes.states.append(change)
             if incarnation == self.incarnation:
                 self.kill()
@@ -188,17 +190,17 @@
                     then()
 
         self.deployment.ask(
-            self.name, 'POST', '/v1/leave', lambda: {'inc': incarnation_id}, leave_answered, LEAVE_TIMEOUT
+            self.name, 'POST', '/v1/leave', lambda: {'inc': incarnation_id}, on_leave_response, DEREGISTER_TIMEOUT
         )
 
     # -- requests ---------------------------------------------------------------
 
     def refusal(self, headers: dict[str, str], status: int) -> effects.HttpResult:
-        """An answer that promises that the request has not run."""
+        """Return a response that promises that the request has not run."""
         return effects.HttpResult(status, {'zt-id': headers.get('zt-id', ''), 'zt-not-run': '1'}, b'')
 
     def call(self, call: effects.HttpRequest, callback: typing.Callable) -> str | None:
-        """A request arrives; returns its id if it can be hung up."""
+        """Handle a request; return its id if the caller may still abort it, None if it is settled."""
         if call.method == 'GET' and call.path == '/health':
             self.check_health(call, callback)
             return None
@@ -225,8 +227,8 @@
             return arrival.id
         elif self.running < self.slots:
             return self.run(arrival, headers, callback)
-        elif len(self.waiting) < self.queue_most:
-            self.waiting.append(Waiting(arrival, headers, callback, self.world.now))
+        elif len(self.queue) < self.max_queue_length:
+            self.queue.append(QueuedRequest(arrival, headers, callback, self.world.now))
             return arrival.id
         elif self.resets_when_full:
             self.fail_by_reset(arrival, headers, callback)
@@ -235,67 +237,71 @@
         return None
 
     def hang_up(self, request_id: str) -> None:
-        """Drop a request that waits or is at work, as most endpoints do once its connection is closed."""
-        self.waiting = [waiting for waiting in self.waiting if waiting.arrival.id != request_id]
+        """Drop a queued or running request, as most endpoints do once its connection is closed."""
+        self.queue = [queued for queued in self.queue if queued.arrival.id != request_id]
         if request_id in self.work:
             self.end_work(request_id)
-            self.take_up_waiting()
+            self.run_queued()
 
     def check_health(self, call: effects.HttpRequest, callback: typing.Callable) -> None:
-        """Answer a health check, slowly where all slots are taken."""
+        """Respond to a health check: slowly if all slots are taken, with 503 if the queue is full too."""
         incarnation = self.incarnation
-        if self.running >= self.slots and len(self.waiting) >= self.queue_most:
+        if self.running >= self.slots and len(self.queue) >= self.max_queue_length:
             callback(self.refusal(call.headers, 503))
             return
 
-        def answer() -> None:
-            """Give the health answer, unless this incarnation has ended."""
+        def send_response() -> None:
+            """Send the health response, unless this incarnation has ended."""
             if incarnation == self.incarnation:
                 is_well = self.state == 'ready' and not self.reports_unhealthy
-                headers = {'zt-inc': self.incarnation_id, 'zt-cold-ms': str(self.cold_ms()), 'zt-load': self.load()}
+                headers = {
+                    'zt-inc': self.incarnation_id,
+                    'zt-cold-ms': str(self.remaining_warm_up_ms()),
+                    'zt-load': self.load(),
+                }
                 callback(effects.HttpResult(200 if is_well else 503, headers, b''))
 
-        self.world.after(ms(2 if self.running < self.slots else self.work_ms), answer)
+        self.world.after(ms(2 if self.running < self.slots else self.work_ms), send_response)
 
     def load(self) -> str:
-        """Requests at work, those that wait, and slots, as the load header has them."""
-        return f'{self.running},{len(self.waiting)},{self.slots}'
+        """Return the value of the load header: running requests, queued requests, slots."""
+        return f'{self.running},{len(self.queue)},{self.slots}'
 
-    def answer_headers(self, request_id: str) -> dict[str, str]:
-        """The headers of an answer: the id of its request, a stamp, and the load."""
+    def response_headers(self, request_id: str) -> dict[str, str]:
+        """Return the headers of a response: the request id, a stamp, and the load."""
         return {'zt-id': request_id, 'zt-stamp': f'{request_id}.{self.incarnation_id}', 'zt-load': self.load()}
 
     def note_answer(self, request_id: str, status: int, body: bytes) -> None:
-        """Note what was answered to a request."""
+        """Record the response to a request."""
         given = open_notes.GivenAnswer(status, body, self.world.now)
         self.deployment.notes.given_answers.setdefault(request_id, []).append(given)
 
     # -- work -----------------------------------------------------------------------
 
     def run(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> str:
-        """Work on a request, no longer than its caller waits; returns its id."""
+        """Run a request, until its deadline at most; return its id."""
         world = self.world
         self.running += 1
         self.deployment.notes.runs.append(dataclasses.replace(arrival, at=world.now))
         self.open[arrival.id] = callback
-        factor = COLD_FACTOR if world.now < self.cold_until else 1
-        random_work = ms(self.work_ms * factor * world.rng.lognormvariate(*WORK_SPREAD))
-        work = min(random_work, ms(self.work_ms * WORK_MOST))
-        left = ms(int(headers.get('zt-left-ms', USUAL_LEFT_MS)))
-        noted = open_notes.Work(arrival.id, self.incarnation_id, world.now + min(work, left))
+        factor = WARM_UP_WORK_FACTOR if world.now < self.warm_up_ends_at else 1
+        random_work = ms(self.work_ms * factor * world.rng.lognormvariate(*WORK_FACTOR_DISTRIBUTION))
+        work = min(random_work, ms(self.work_ms * MAX_WORK_FACTOR))
+        remaining = ms(int(headers.get('zt-left-ms', DEFAULT_REMAINING_MS)))
+        noted = open_notes.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
         self.work[arrival.id] = noted
         self.deployment.notes.work.append(noted)
-        world.after(min(work, left), self.finish, self.incarnation, arrival, callback, work > left)
+        world.after(min(work, remaining), self.finish, self.incarnation, arrival, callback, work > remaining)
         return arrival.id
 
     def end_work(self, request_id: str | None) -> None:
-        """A request is no longer at work."""
+        """Free the slot of a running request."""
         self.running -= 1
         self.open.pop(request_id, None)
         self.work.pop(request_id).ended_at = self.world.now
 
     def finish(self, incarnation: int, arrival: open_notes.Arrival, callback: typing.Callable, is_late: bool) -> None:
-        """The work is done: answer, and take up what waits."""
+        """Respond to a request whose work is done, and run queued requests."""
         world = self.world
         request_id = arrival.id
         if incarnation != self.incarnation or request_id not in self.work:
@@ -303,80 +309,80 @@
         self.end_work(request_id)
         status = 504 if is_late else world.rng.choices((200, 500), (99.5, 0.5))[0]
         body = json.dumps({'id': request_id, 'by': self.incarnation_id, 'n': world.rng.getrandbits(32)}).encode()
-        headers = self.answer_headers(request_id)
+        headers = self.response_headers(request_id)
         self.note_answer(request_id, status, body)
         if self.state != 'ready':
             headers['connection'] = 'close'
-        callback(self.spoil(request_id, effects.HttpResult(status, headers, body)))
-        self.take_up_waiting()
+        callback(self.damage(request_id, effects.HttpResult(status, headers, body)))
+        self.run_queued()
 
-    def spoil(self, request_id: str, result: effects.HttpResult) -> effects.HttpResult:
-        """What becomes of an answer, as the chances have it."""
+    def damage(self, request_id: str, result: effects.HttpResult) -> effects.HttpResult:
+        """Return a response as the proxy receives it: unchanged, or damaged as the probabilities have it."""
         now = self.world.now
         broke = self.deployment.notes.broke
         draw = self.world.rng.random()
-        lost = self.loss_chance
-        cut_short = lost + self.truncation_chance
-        malformed = cut_short + self.malformed_chance
-        if draw < malformed:
+        lost_below = self.loss_chance
+        truncated_below = lost_below + self.truncation_chance
+        malformed_below = truncated_below + self.malformed_chance
+        if draw < malformed_below:
             broke.add(request_id)
-        if self.duplicate is not None and now - self.duplicate[1] < DUPLICATE_MOST:
-            # An answer of before comes a second time, in the place of this one.
+        if self.duplicate is not None and now - self.duplicate[1] < MAX_DUPLICATE_AGE:
+            # An earlier response is sent a second time in place of this one.
             duplicate = self.duplicate[0]
             self.duplicate = None
             broke.add(request_id)
             return duplicate
-        if draw < lost:
+        if draw < lost_below:
             return effects.HttpResult(fault='connection lost')
-        if draw < cut_short:
+        if draw < truncated_below:
             half = result.body[: len(result.body) // 2]
             return effects.HttpResult(result.status, result.headers, half, True, 'reply cut short')
-        if draw < malformed:
+        if draw < malformed_below:
             return effects.HttpResult(fault='ParseError')
-        if draw < malformed + self.duplicate_chance:
+        if draw < malformed_below + self.duplicate_chance:
             self.duplicate = (result, now)
         return result
 
-    def take_up_waiting(self) -> None:
-        """Run what waits, as long as there are slots; refuse what has waited for its whole time."""
-        while self.waiting and self.running < self.slots:
-            arrival, headers, callback, since = self.waiting.pop(0)
-            left = ms(int(headers.get('zt-left-ms', USUAL_LEFT_MS))) - (self.world.now - since)
-            if left <= durations.ZERO:
+    def run_queued(self) -> None:
+        """Run queued requests while there are free slots; refuse those whose deadline has passed."""
+        while self.queue and self.running < self.slots:
+            arrival, headers, callback, since = self.queue.pop(0)
+            remaining = ms(int(headers.get('zt-left-ms', DEFAULT_REMAINING_MS))) - (self.world.now - since)
+            if remaining <= durations.ZERO:
                 callback(self.refusal(headers, 503))
             else:
-                left_ms = str(max(1, durations.to_ms(left)))
-                self.run(arrival, dict(headers, **{'zt-left-ms': left_ms}), callback)
+                remaining_ms = str(max(1, durations.to_ms(remaining)))
+                self.run(arrival, dict(headers, **{'zt-left-ms': remaining_ms}), callback)
 
-    # -- ways to fail a request while the health answer is good --------------------------
+    # -- failure modes of requests while health checks pass --------------------------
 
     def fail_by_error(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It runs, and ends in an error."""
+        """The request runs and gets a 500."""
         request_id = arrival.id
         self.deployment.notes.runs.append(arrival)
         body = json.dumps({'id': request_id, 'by': self.incarnation_id, 'error': True}).encode()
         self.note_answer(request_id, 500, body)
-        callback(effects.HttpResult(500, self.answer_headers(request_id), body))
+        callback(effects.HttpResult(500, self.response_headers(request_id), body))
 
     def fail_by_shed(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It does not run, and is refused as if there were no room."""
+        """The request does not run and gets a 503, as if the queue were full."""
         callback(self.refusal(headers, 503))
 
     def fail_by_busy(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It does not run, and is refused as if there were too many requests."""
+        """The request does not run and gets a 429, as if there were too many requests."""
         callback(self.refusal(headers, 429))
 
     def fail_by_hang(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It runs, and nothing ever comes back."""
+        """The request runs and never gets a response."""
         self.deployment.notes.runs.append(arrival)
         self.deployment.notes.broke.add(arrival.id)
 
     def fail_by_mute(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It does not run, and nothing comes back."""
+        """The request does not run and never gets a response."""
         self.deployment.notes.broke.add(arrival.id)
 
     def fail_by_reset(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
-        """It does not run, and the connection is reset."""
+        """The request does not run and its connection is reset."""
         self.deployment.notes.broke.add(arrival.id)
         callback(effects.HttpResult(fault='connection lost'))
 
--- a/zinctrail/simulation/open_actors/notes.py
+++ b/zinctrail/simulation/open_actors/notes.py
@@ -1,6 +1,6 @@
-"""What was seen from outside on a day of open traffic: the only thing that the checkers read.
+"""Records of what was observed from outside in a scenario of open traffic, the only input of the checkers.
 
-A time of an answer is None while there is none.
+The time of a response is None while there is none.
 """
 
 import dataclasses
@@ -13,31 +13,31 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """What a client wants done; each of its attempts has an id of its own."""
+    """A request of a client; each of its attempts has its own id."""
 
     number: str
-    # The name of the rule that it matches, and whether that rule lets it run once only.
+    # The name of the matching rule, and whether the rule requires at-most-once execution.
     rule: str
     runs_once: bool
     host: str
     path: str
     method: str
     body: bytes
-    # Regions outside which it must not run; anywhere if there are none.
+    # The regions that it must run in; empty if it may run anywhere.
     home: list[str]
     sent_at: Time
-    # When its time is over.
+    # The request's deadline.
     until: Time
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One attempt of a request: to which front it went, and what came back."""
+    """One attempt of a request: the ingress that it was sent to, and the response."""
 
     id: str
     request: Request
     front: str
-    # The incarnation count of the front's process.
+    # The incarnation count of the proxy process behind the ingress.
     front_incarnation: int
     sent_at: Time
     answered_at: Time | None = None
@@ -45,27 +45,27 @@
     fault: str | None = None
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     answer_body: bytes = b''
-    # Whether any of it may have reached the front.
+    # Whether any of it may have reached the ingress.
     was_sent: bool | None = None
-    # When its client gave it up before its time was over, and closed the connection.
+    # When the client abandoned it before its deadline and closed the connection.
     left_at: Time | None = None
 
     def is_answered(self) -> bool:
-        """Whether it has a whole answer."""
+        """True if a complete response arrived."""
         return self.answered_at is not None and not self.fault and bool(self.status)
 
     def is_success(self) -> bool:
-        """Whether it has a whole answer that says that the request ran well."""
+        """True if a complete response with a 2xx status arrived."""
         return self.is_answered() and 200 <= (self.status or 0) < 300
 
 
 @dataclasses.dataclass(slots=True)
 class Arrival:
-    """A request that reached an endpoint, also where it was refused."""
+    """A request that reached an endpoint, whether it ran or was refused."""
 
     at: Time
     id: str | None
-    # The incarnation that it reached, and the one that it was sent to.
+    # The incarnation that it reached, and the one that it was addressed to.
     incarnation: str
     meant_for: str | None
     service: str
@@ -73,23 +73,23 @@
     method: str
     path: str
     body: bytes
-    # Whether it was meant for another incarnation, which refuses it.
+    # Whether it was addressed to another incarnation; such a request is refused.
     is_misdirected: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """What an endpoint did for a request that it ran."""
+    """The time that an endpoint worked on a request."""
 
     id: str | None
     incarnation: str
-    # Until when it takes if nobody ends it, and when it ended: later, or never, if nobody noted it.
+    # When the work ends unless it is aborted, and when it did end; None while it runs.
     until: Time
     ended_at: Time | None = None
 
 
 class GivenAnswer(typing.NamedTuple):
-    """An answer that an endpoint gave to a request that ran."""
+    """A response that an endpoint sent to a request that ran."""
 
     status: int
     body: bytes
@@ -97,7 +97,7 @@
 
 
 class StateChange(typing.NamedTuple):
-    """An endpoint's word that it drains or is gone, once a node acknowledged it."""
+    """An endpoint's announcement, acknowledged by a node, that it drains or has left."""
 
     acknowledged_at: Time
     node: str
@@ -106,7 +106,7 @@
 
 
 class ColdSpan(typing.NamedTuple):
-    """A span in which an incarnation was cold."""
+    """The span in which an incarnation was warming up."""
 
     begins_at: Time
     ends_at: Time
@@ -115,10 +115,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Order:
-    """A call of an operator or of an endpoint that drains, sent until there is a clear answer."""
+    """A command of an operator or of a draining endpoint, retried until it has a conclusive response."""
 
     what: str
-    # Items in it.
+    # The number of items in it.
     size: int
     sent_at: Time
     answered_at: Time | None = None
@@ -128,11 +128,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Change:
-    """One item of a change, which travels in an order."""
+    """The change of one item, as part of a command."""
 
     key: str
     version: int
-    # Its content; None where it is dropped.
+    # The item's new content; None if it is dropped.
     row: dict | None
     sent_at: Time
     order: Order
@@ -142,7 +142,7 @@
 
 
 class Read(typing.NamedTuple):
-    """All items as they were read back; None where there was no answer."""
+    """All items as read back by an operator; None if there was no response."""
 
     sent_at: Time
     answered_at: Time
@@ -151,7 +151,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Evacuation:
-    """An order to evacuate a zone or to take it back."""
+    """A command to evacuate a zone or to end its evacuation."""
 
     cell: str
     is_evacuated: bool
@@ -163,12 +163,12 @@
 class LockBelief(observations.LockBelief):
     """A span in which an application believes that it holds a lock."""
 
-    # When the call that took it was sent.
+    # When the call that acquired it was sent.
     sent_at: Time
 
 
 class Number(typing.NamedTuple):
-    """A number that an application was given."""
+    """A number that an application received."""
 
     sent_at: Time
     answered_at: Time
@@ -177,24 +177,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Put:
-    """A value that an application put into a cell over a revision that it named."""
+    """A conditional put of a value into a cell; it applies only at the expected revision."""
 
     name: str
     value: str
     expected_revision: int
     sent_at: Time
     answered_at: Time | None = None
-    # The revision that it was given, and the one that a refusal named.
+    # The revision that it got, and the one that a refusal reported.
     revision: int | None = None
     named_revision: int | None = None
-    # The status at the end, 0 where the result is unknown, and those of all calls.
+    # The final status, 0 if the result is unknown, and the statuses of all attempts.
     status: int = 0
     statuses: list[int] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Get:
-    """A cell as it was read: no value and revision 0 where there was none."""
+    """A read of a cell; no value and revision 0 if the cell did not exist."""
 
     name: str
     sent_at: Time
@@ -205,11 +205,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Watch:
-    """A watch of a group of cells from a revision on."""
+    """A watch of a group of cells for events after a revision."""
 
     group: str
     since: int
-    # When that revision was given; None where the watch began anew.
+    # When that revision was received; None if the watch started over.
     given_at: Time | None
     sent_at: Time
     answered_at: Time
@@ -219,7 +219,7 @@
 
 
 class Span(typing.NamedTuple):
-    """A time from one point to another; no end where it never ended."""
+    """A span of time; the end is None if it never ended."""
 
     begins_at: Time
     ends_at: Time | None
@@ -227,7 +227,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Cut:
-    """A link between two parties that was cut; no end while it is."""
+    """A cut of the link between two parties; the end is None while it lasts."""
 
     one: str
     other: str
@@ -236,7 +236,7 @@
 
 
 class Closing(typing.NamedTuple):
-    """A closing fault: when it struck, and when everything was back."""
+    """A closing fault: when it began, and when every process was up again."""
 
     struck_at: Time
     back_at: Time
@@ -244,18 +244,18 @@
 
 
 class Notes:
-    """All that was seen from outside, in the order of virtual time."""
+    """All that was observed from outside, in the order of virtual time."""
 
     def __init__(self):
         self.attempts: list[Attempt] = []
         self.arrivals: list[Arrival] = []
-        # The arrivals that ran, with the time at which they began to.
+        # The arrivals that ran, with the time at which they began to run.
         self.runs: list[Arrival] = []
         self.work: list[Work] = []
-        # By the id of an attempt.
+        # The responses that endpoints sent, by the id of the attempt.
         self.given_answers: dict[str, list[GivenAnswer]] = {}
         self.states: list[StateChange] = []
-        # Ids whose endpoint broke off, or spoilt its answer.
+        # The ids of attempts whose endpoint crashed, did not respond, or damaged its response.
         self.broke: set[str | None] = set()
         self.cold_spans: list[ColdSpan] = []
         self.changes: list[Change] = []
@@ -271,7 +271,7 @@
         self.cuts: list[Cut] = []
         # Spans in which frames are lost.
         self.lossy: list[Span] = []
-        # Spans in which acknowledgements to operators are lost on their way.
+        # Spans in which acknowledgements to operators are lost in transit.
         self.ack_losses: list[Span] = []
-        # Ids sent towards an endpoint that was cut off: its front could not know that nobody was there.
+        # The ids of attempts sent to an endpoint that was cut off, which the proxy could not know.
         self.swallowed: set[str | None] = set()
--- a/zinctrail/simulation/open_actors/operator.py
+++ b/zinctrail/simulation/open_actors/operator.py
@@ -1,4 +1,4 @@
-"""An operator: sends changes of items, each again unchanged until there is a clear answer."""
+"""An operator that changes configuration items; it resends each change unchanged until the response is conclusive."""
 
 import copy
 import datetime
@@ -20,11 +20,11 @@
 
 
 def ignore(*args) -> None:
-    """A callback for whoever needs no answer."""
+    """Do nothing: the default callback of a caller that needs no response."""
 
 
 class Operator:
-    """Changes items, evacuates cells, reads back."""
+    """Changes items, evacuates zones, and reads the items back."""
 
     def __init__(self, deployment: 'open_deployment.Deployment', name: str = 'op') -> None:
         self.deployment = deployment
@@ -32,7 +32,7 @@
         self.name = name
 
     def new_order(self, what: str, size: int = 1) -> open_notes.Order:
-        """Note an order that is sent now."""
+        """Record a command that is sent now."""
         order = open_notes.Order(what, size, sent_at=self.world.now)
         self.deployment.notes.orders.append(order)
         return order
@@ -45,11 +45,11 @@
         length: datetime.timedelta = CHANGE_LENGTH,
         body: bytes | None = None,
     ) -> None:
-        """Change items; the callback takes the status, 0 where there is no clear answer.
+        """Change items; the callback takes the status, 0 if no attempt got a response.
 
-        :param sets: {'rules': [...], ...} of whole items.
+        :param sets: {'rules': [...], ...} of complete items.
         :param drops: {'rules': [{name, version}], ...}.
-        :param body: what is sent in place of the document, where a fault spoils it.
+        :param body: sent in place of the document, by a fault that damages it.
         """
         document = {'set': copy.deepcopy(sets or {}), 'drop': copy.deepcopy(drops or {})}
         order = self.new_order('change')
@@ -58,35 +58,40 @@
         self.deployment.notes.changes += changes
         raw = body if body is not None else json.dumps(document).encode()
 
-        def answered(answer: 'open_deployment.Answer') -> None:
-            """Note the status of the call and of each item in it."""
+        def on_response(response: 'open_deployment.Response') -> None:
+            """Record the status of the command and of each item in it."""
             order.answered_at = self.world.now
-            order.status = answer.status
+            order.status = response.status
             for change in changes:
                 change.answered_at = self.world.now
-                change.status = answer.status
-            callback(answer.status)
-            if answer.status == 200:
-                self.deployment.acknowledged(answer.node)
+                change.status = response.status
+            callback(response.status)
+            if response.status == 200:
+                self.deployment.acknowledged(response.node)
 
-        self.deployment.ask(self.name, 'PATCH', '/v1/items', lambda: raw, answered, length, final=CHANGE_FINAL)
+        self.deployment.ask(self.name, 'PATCH', '/v1/items', lambda: raw, on_response, length, final=CHANGE_FINAL)
 
     def evacuate(self, cell: str, is_evacuated: bool = True) -> None:
-        """Evacuate a cell, or take it back."""
+        """Evacuate a zone, or end its evacuation."""
         evacuation = open_notes.Evacuation(cell, is_evacuated, sent_at=self.world.now)
         self.deployment.notes.evacuations.append(evacuation)
         order = self.new_order(f'empty {cell} {is_evacuated}')
 
-        def answered(answer: 'open_deployment.Answer') -> None:
-            """Note the status, and the order once it is acknowledged."""
+        def on_response(response: 'open_deployment.Response') -> None:
+            """Record the status, and the evacuation once it is acknowledged."""
             order.answered_at = self.world.now
-            order.status = answer.status
-            if answer.status == 200:
+            order.status = response.status
+            if response.status == 200:
                 evacuation.acknowledged_at = self.world.now
-                self.deployment.acknowledged(answer.node)
+                self.deployment.acknowledged(response.node)
 
         self.deployment.ask(
-            self.name, 'POST', '/v1/cell/empty', lambda: {'cell': cell, 'on': is_evacuated}, answered, terms.TERMS.ack
+            self.name,
+            'POST',
+            '/v1/cell/empty',
+            lambda: {'cell': cell, 'on': is_evacuated},
+            on_response,
+            terms.TERMS.ack,
         )
 
     def read(
@@ -95,17 +100,17 @@
         """Read all items back; the callback takes the document."""
         sent_at = self.world.now
 
-        def answered(answer: 'open_deployment.Answer') -> None:
-            """Note what was read."""
-            items = answer.document.get('items') if answer.status == 200 else None
+        def on_response(response: 'open_deployment.Response') -> None:
+            """Record the items that were read."""
+            items = response.document.get('items') if response.status == 200 else None
             self.deployment.notes.reads.append(open_notes.Read(sent_at, self.world.now, items))
-            callback(answer.document)
+            callback(response.document)
 
-        self.deployment.ask(self.name, 'GET', '/v1/items', lambda: None, answered, length)
+        self.deployment.ask(self.name, 'GET', '/v1/items', lambda: None, on_response, length)
 
 
 def changes_of(document: dict, order: open_notes.Order) -> list[open_notes.Change]:
-    """Each item that a document sets or drops, as it travels in an order."""
+    """Return the change of each item that a document sets or drops, as parts of one command."""
     changes = []
     for part in ('rules', 'pools'):
         for row in document['set'].get(part, ()):
--- a/zinctrail/simulation/open_actors/terms.py
+++ b/zinctrail/simulation/open_actors/terms.py
@@ -1,4 +1,4 @@
-"""What a deployment of open traffic tells the system: bounds of its rules, sizes, services."""
+"""The parameters of deployments of open traffic: the bounds that checkers enforce, sizes, and services."""
 
 import dataclasses
 import datetime
@@ -13,9 +13,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Terms:
-    """How long until the bound of each rule holds, the slacks, and the shares of repeats and of cold endpoints."""
+    """The time bounds of the checkers' rules, and the limits on retries and on load during warm-up."""
 
-    # How long a machine out of contact may act on what it knows.
+    # How long a node without contact may act on its last known state.
     contact: datetime.timedelta = ms(5000)
     drain: datetime.timedelta = ms(3000)
     config: datetime.timedelta = ms(3000)
@@ -23,27 +23,27 @@
     # From SIGTERM to SIGKILL.
     grace: datetime.timedelta = ms(6000)
     recovery: datetime.timedelta = ms(15000)
-    # An eighth of how long a process may still show an older version.
+    # An eighth of the time in which a process may still serve an older version.
     revert: datetime.timedelta = ms(250)
-    # What is added to a bound while the control nodes are unsettled.
+    # The time added to a bound while the control nodes are disturbed.
     stretch: datetime.timedelta = ms(10000)
-    # How far behind callers are in knowing who serves control.
+    # The delay until callers learn of a change in the set of running control nodes.
     seed_lag: datetime.timedelta = ms(3000)
-    # How far back watches reach.
+    # How far back a watch may start.
     history: datetime.timedelta = ms(20000)
-    # How long endpoints may go on working for a client that has left.
+    # How long endpoints may continue to work for a client that has closed its connection.
     left: datetime.timedelta = ms(500)
-    # How long after trouble in their region clients may be led to other regions.
+    # How long after a fault in their region clients may be directed to other regions.
     calm: datetime.timedelta = ms(15000)
-    # How soon an address may pass to another endpoint.
+    # The minimum time before an address may be reused by another endpoint.
     reuse: datetime.timedelta = ms(2000)
-    # How long an operator's order goes without an acknowledgement.
+    # How long a command may stay without an acknowledgement.
     ack: datetime.timedelta = ms(6000)
-    # Further arrivals of the same requests: as a share of all in a window, and how many besides.
+    # The limit on retries that reach endpoints: a share of all arrivals in a window, plus a fixed number.
     repeat_share: float = 0.2
     repeat_slack: int = 20
     repeat_window: datetime.timedelta = ms(10000)
-    # How many times what it bears a cold endpoint may get in a second, and how many besides.
+    # The limit on requests per second to an endpoint that is warming up: a multiple of its warm-up rate, plus a fixed number.
     cold_ratio: float = 1.5
     cold_slack: int = 5
 
@@ -54,7 +54,7 @@
 class Shape(deployments.Shape, total=False):
     """The sizes of a deployment of open traffic."""
 
-    # Endpoints of each service, and the requests that each works on at once.
+    # The number of endpoints of each service, and the number of concurrent requests of each endpoint.
     ends: int
     slots: int
 
@@ -67,7 +67,7 @@
 
 
 class Service(typing.NamedTuple):
-    """What one service's requests and endpoints are like."""
+    """The properties of a service's requests and endpoints."""
 
     once: bool
     work_ms: int
@@ -83,16 +83,16 @@
     'sync': Service(False, 200, 1200, 3000, True),
     'holds': Service(True, 80, 500, 1200, False),
 }
-# How many requests a second a cold endpoint bears, and how long it is cold.
+# The requests per second that an endpoint can serve while warming up, and the length of the warm-up.
 COLD_PER_S = 5.0
 COLD_S = 3.0
-# Cells of coordination, g<group>.<cell>, that applications put and read.
+# The number of groups and of cells per group that applications use; the cells are named g<group>.<cell>.
 GROUPS = 2
 CELLS_A_GROUP = 3
-# How long the way takes between regions, and between zones of a region.
+# The added one-way latency between regions, and between zones of a region.
 REGION_MS = 20
 ZONE_MS = 1
-# How long an endpoint that drains serves on after its time: long enough for late requests to show.
+# How long a draining endpoint serves after its drain time: long enough to observe late requests.
 AFTER_DRAIN = ms(800)
 # Statuses after which a client does not retry.
 FINAL = (400, 401, 404, 413, 431)
@@ -101,7 +101,7 @@
 
 
 def bound(shape: Shape) -> settings.Settings:
-    """The settings as a platform of these terms has them."""
+    """Return the system's settings on a platform with these parameters."""
     return settings.Settings(
         herd=shape.get('herd', 40),
         grace=TERMS.grace,
@@ -116,7 +116,7 @@
 
 
 def pools_of(rule: dict | None) -> set[str]:
-    """The pools that a rule routes to; none for a rule that was dropped."""
+    """Return the pools that a rule routes to; an empty set for a dropped rule (None)."""
     if rule is None:
         return set()
     if 'pool' in rule:
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -1,4 +1,4 @@
-"""The world of open traffic: parties stand in cells, cuts are noted, endpoints may go silent."""
+"""The simulated world of open traffic: each party has a zone, cuts are recorded, and endpoints may go silent."""
 
 import datetime
 import typing
@@ -20,28 +20,28 @@
 
 
 class World(simulated_world.World):
-    """A world whose endpoints are reached as transport.endpoint_client does."""
+    """A world in which proxies reach endpoints the way transport.endpoint_client does."""
 
     callers_hang_up = True
-    # How long a connection to an endpoint that has gone silent is waited for, and how long one is kept idle.
+    # The timeout on a connection to a silent endpoint, and how long an idle connection is kept open.
     SILENT = ms(1500)
     IDLE = ms(4000)
 
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
-        # The cell of each party, by its name.
+        # The zone of each process, endpoint and user, by its name.
         self.cells: dict[str, str] = {}
         self.notes = open_notes.Notes()
-        # Cuts that are not healed, by their link.
+        # The cuts that are not healed, by (source, target).
         self.open_cuts: dict[tuple[str, str], open_notes.Cut] = {}
 
     def add(self, name: str, role: str, cell: str, *args, **kwargs) -> simulated_node.Node:
-        """Add a node that is not started yet, and note its cell."""
+        """Add a node that is not started yet, and record its zone."""
         self.cells[name] = cell
         return super().add(name, role, cell, *args, **kwargs)
 
     def distance(self, source: str, target: str) -> datetime.timedelta:
-        """What the way takes longer between zones and between regions."""
+        """Return the added one-way latency between the zones of two parties."""
         here = self.cells.get(source)
         there = self.cells.get(target)
         if here is None or there is None or here == there:
@@ -50,7 +50,7 @@
         return ms(terms.ZONE_MS if is_same_region else terms.REGION_MS)
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """As simulation.network, with a note."""
+        """Cut a link as simulation.network does, and record the cut."""
         super().cut(source, target, both)
         if (source, target) not in self.open_cuts:
             noted = open_notes.Cut(source, target, self.now)
@@ -58,14 +58,14 @@
             self.notes.cuts.append(noted)
 
     def heal(self, *names: str) -> None:
-        """As simulation.network, with a note of when each cut ended."""
+        """Heal links as simulation.network does, and record when each cut ended."""
         super().heal(*names)
         for pair in list(self.open_cuts):
             if pair not in self.cuts and (pair[1], pair[0]) not in self.cuts:
                 self.open_cuts.pop(pair).ends_at = self.now
 
     def fetch_endpoint(self, caller: str, effect: effects.HttpFetch) -> defer.Deferred:
-        """A call to an endpoint; nobody is asked who it is, and a kept connection may have gone silent."""
+        """Send a request to an endpoint, without checking its identity; a kept connection may have gone silent."""
         connection: typing.Any = self.connections.get((caller, effect.incarnation))
         endpoint: typing.Any = self.endpoints.get(effect.address)
         is_kept = (
@@ -78,7 +78,7 @@
             self.notes.swallowed.add(effect.headers.get('zt-id'))
         if is_kept and self.is_cut(caller, endpoint.name):
             deferred: defer.Deferred = defer.Deferred()
-            # It counts as sent: the connection was there, and nobody can say what became of the bytes.
+            # The request counts as sent: the connection was open, and the fate of the bytes is unknown.
             self.after(min(effect.wait, self.SILENT), network.settle, deferred, effects.HttpResult(fault='silent'))
             return deferred
         if is_kept and endpoint.idle_limit is not None and self.now - connection[2] > endpoint.idle_limit:
@@ -87,28 +87,28 @@
             caller, effect.address, effect.method, effect.path, effect.headers, effect.body, effect.wait
         )
 
-        def answered(result: effects.HttpResult) -> effects.HttpResult:
-            """Keep the connection on which a whole answer came."""
+        def on_response(result: effects.HttpResult) -> effects.HttpResult:
+            """Keep the connection on which a complete response arrived."""
             if not result.fault and endpoint is not None:
                 self.connections[caller, effect.incarnation] = (endpoint, endpoint.incarnation, self.now)
             return result
 
-        return deferred.addCallback(answered)
+        return deferred.addCallback(on_response)
 
     def reset_by_endpoint(
         self, caller: str, effect: effects.HttpFetch, endpoint: 'open_endpoint.Endpoint'
     ) -> defer.Deferred:
-        """A call on a connection that its endpoint has dropped without notice: reset, and never seen there."""
+        """Fail a request on a connection that the endpoint dropped without notice; the endpoint never sees the request."""
         del self.connections[caller, effect.incarnation]
         self.notes.broke.add(effect.headers.get('zt-id'))
         deferred: defer.Deferred = defer.Deferred()
-        # Sent, since the bytes went out: a reset does not tell whether they were read.
+        # The request counts as sent, since the bytes went out: a reset does not tell whether they were read.
         lost = effects.HttpResult(fault='connection lost')
         self.after(self.delay(caller, endpoint.name), network.settle, deferred, lost)
         return deferred
 
     def reset(self, node: simulated_node.Node, share: float) -> None:
-        """Endpoints' connections as well: what is at work there runs on, and its answer has no way back."""
+        """Reset a share of a node's connections, those to endpoints too: their requests run on, but the responses are lost."""
         super().reset(node, share)
         for endpoint in list(self.endpoints.values()):
             for request_id, callback in list(endpoint.open.items()):
--- a/zinctrail/simulation/orders/evacuations.py
+++ b/zinctrail/simulation/orders/evacuations.py
@@ -32,7 +32,7 @@
         self.count += 1
         operator = f'zones-{zone}'
 
-        def answered(answer: open_deployment.Answer):
+        def answered(answer: open_deployment.Response):
             self.world.after(SETTLE, settled, answer.status)
 
         def settled(status: int):
--- a/zinctrail/simulation/orders/order.py
+++ b/zinctrail/simulation/orders/order.py
@@ -26,7 +26,7 @@
     row: dict | None
 
 
-class Answer(typing.NamedTuple):
+class Response(typing.NamedTuple):
     """What was answered to one copy of an order."""
 
     sent: datetime.timedelta
@@ -40,7 +40,7 @@
     def __init__(self, document: dict):
         self.document = document
         self.body = json.dumps(document).encode()
-        self.answers: list[Answer] = []
+        self.answers: list[Response] = []
 
     def items(self) -> list[ItemChange]:
         """What it does, item by item."""
@@ -52,7 +52,7 @@
                 found.append(ItemChange(f'{kind}/{row["name"]}', row['version'], None))
         return found
 
-    def acknowledgements(self) -> list[Answer]:
+    def acknowledgements(self) -> list[Response]:
         """The answers that say that it was done."""
         return [answer for answer in self.answers if answer.status == 200]
 
--- a/zinctrail/simulation/orders/run.py
+++ b/zinctrail/simulation/orders/run.py
@@ -112,9 +112,9 @@
         if not self.is_ending:
             self.most_under_way = max(self.most_under_way, self.under_way)
 
-        def answered(answer: open_deployment.Answer):
+        def answered(answer: open_deployment.Response):
             self.under_way -= 1
-            order.answers.append(operator_order.Answer(sent, self.world.now, answer.status))
+            order.answers.append(operator_order.Response(sent, self.world.now, answer.status))
             callback()
 
         limit = RUN_LENGTH + LAST_ANSWERS_LIMIT
