--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -71,7 +71,7 @@
     """Note that a version of the rule was acknowledged."""
     row = dict(RULE, version=version)
     order = open_notes.Order('change', size=1, sent_at=at - ms(50))
-    change = open_notes.Change('rules/r-new', version, row, order.sent_at, order, answered_at=at, status=200)
+    change = open_notes.Change('rules/r-new', version, row, order.sent_at, order, responded_at=at, status=200)
     notes.changes.append(change)
 
 
@@ -95,7 +95,7 @@
         front='prox0',
         front_incarnation=1,
         sent_at=at,
-        answered_at=at + ms(5),
+        responded_at=at + ms(5),
         status=404,
     )
     notes.attempts.append(attempt)
@@ -204,7 +204,7 @@
     context.proxy = context.world.of('prox')[0]
     assert context.world.run(ms(9000), lambda: len(context.proxy.requests) > 1)
     notes = context.deployment.notes
-    context.under_way = [tr for tr in notes.attempts if tr.answered_at is None and tr.front == context.proxy.name]
+    context.under_way = [tr for tr in notes.attempts if tr.responded_at is None and tr.front == context.proxy.name]
     assert context.under_way
     context.world.reset(context.proxy, 1.0)
     context.reset_at = context.world.now
@@ -215,7 +215,7 @@
     context.world.run(ms(200))
     faults = {tr.fault for tr in context.under_way}
     assert 'connection lost' in faults, faults
-    assert all(tr.answered_at is not None for tr in context.under_way), context.under_way
+    assert all(tr.responded_at is not None for tr in context.under_way), context.under_way
 
 
 @behave.then('the proxy serves again within a second')
@@ -227,7 +227,7 @@
         if tr.front == context.proxy.name and tr.sent_at > context.reset_at and tr.is_success()
     ]
     assert served
-    assert min(tr.answered_at for tr in served) < context.reset_at + ms(1000), served[0].answered_at
+    assert min(tr.responded_at for tr in served) < context.reset_at + ms(1000), served[0].responded_at
 
 
 # -- one fault after another ---------------------------------------------------------------------
--- a/zinctrail/simulation/actors/application.py
+++ b/zinctrail/simulation/actors/application.py
@@ -119,7 +119,7 @@
             self.deployment.notes.numbers.append(operation)
             try:
                 operation.value = yield self.library.next_number('orders')
-                operation.answered_at = self.world.now
+                operation.responded_at = self.world.now
                 operation.result = 'ok'
             except errors.CoordinationError:
                 pass
@@ -141,11 +141,11 @@
                 document = yield self.library.get(key)
                 operation.revision = document['rev']
                 operation.value = document['value']
-            operation.answered_at = self.world.now
+            operation.responded_at = self.world.now
             operation.result = 'ok'
         except errors.CoordinationError as error:
             if error.status in (404, 409):
-                operation.answered_at = self.world.now
+                operation.responded_at = self.world.now
                 operation.result = 'refused'
                 operation.revision = error.document.get('rev')
         return operation
--- a/zinctrail/simulation/actors/caller.py
+++ b/zinctrail/simulation/actors/caller.py
@@ -140,7 +140,7 @@
         self.deployment.notes.replies.append(
             actor_notes.Reply(
                 sent_at=sent_at,
-                answered_at=self.world.now,
+                responded_at=self.world.now,
                 id=reply.id,
                 service=service,
                 outcome=reply.outcome,
@@ -187,7 +187,7 @@
             return
         self.deployment.notes.attempts.append(
             actor_notes.Attempt(
-                answered_at=self.world.now,
+                responded_at=self.world.now,
                 id=headers['zt-id'],
                 number=int(headers['zt-attempt']),
                 proxy=proxy,
--- a/zinctrail/simulation/actors/notes.py
+++ b/zinctrail/simulation/actors/notes.py
@@ -13,7 +13,7 @@
     """What the client library gave its caller for one request, after all attempts."""
 
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     id: str
     service: str
     outcome: str
@@ -29,7 +29,7 @@
 class Attempt:
     """One attempt of a request at a proxy, as its caller saw it end."""
 
-    answered_at: Time
+    responded_at: Time
     id: str
     number: int
     proxy: str
@@ -77,7 +77,7 @@
     """A configuration that an operator applied, and its answer."""
 
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     status: int
     base: int
     generation: int | None
@@ -88,7 +88,7 @@
     """A configuration that was read back."""
 
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     generation: int
     config: dict
 
@@ -110,7 +110,7 @@
     key: str
     sent_at: Time
     # None where the result is unknown: it may have happened at any time since, or never.
-    answered_at: Time | None = None
+    responded_at: Time | None = None
     value: int | str | None = None
     expected_revision: int | None = None
     revision: int | None = None
@@ -126,7 +126,7 @@
     since: int
     since_at: Time | None
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     head: int = 0
     events: list[dict] = dataclasses.field(default_factory=list)
     is_gone: bool = False
--- a/zinctrail/simulation/checkers/configuration.py
+++ b/zinctrail/simulation/checkers/configuration.py
@@ -62,7 +62,7 @@
     """Whether some accepted configuration that was in force then allows the run."""
     for position, apply in enumerate(good):
         is_newest = position + 1 == len(good)
-        over = None if is_newest else good[position + 1].answered_at + IN_FORCE_MOST
+        over = None if is_newest else good[position + 1].responded_at + IN_FORCE_MOST
         if apply.sent_at <= run.at and (over is None or run.at <= over) and is_allowed(apply.config, run):
             return True
     return False
@@ -85,10 +85,10 @@
     refused = [apply.config for apply in notes.applies if apply.status == 400 and isinstance(apply.config, dict)]
     unsure = [apply.config for apply in notes.applies if apply.status not in CLEAR]
     conflicting = [apply.config for apply in notes.applies if apply.status == 409 and apply.config not in unsure]
-    for read in sorted(notes.reads, key=lambda read: read.answered_at):
+    for read in sorted(notes.reads, key=lambda read: read.responded_at):
         began = seconds(read.sent_at)
         generation = read.generation
-        floor = max((number for number, apply in good.items() if apply.answered_at <= read.sent_at), default=0)
+        floor = max((number for number, apply in good.items() if apply.responded_at <= read.sent_at), default=0)
         if generation < floor:
             findings.append(f'read at {began} gave generation {generation}, {floor} was acknowledged before')
         if generation in good and read.config != _filled(good[generation].config):
@@ -105,7 +105,7 @@
     findings = []
     reads = sorted(reads, key=lambda read: read.sent_at)
     for position, read in enumerate(reads):
-        earlier = [other.generation for other in reads[:position] if other.answered_at <= read.sent_at]
+        earlier = [other.generation for other in reads[:position] if other.responded_at <= read.sent_at]
         top = max(earlier, default=0)
         if read.generation < top:
             findings.append(f'read at {seconds(read.sent_at)} slid back from {top} to {read.generation}')
--- a/zinctrail/simulation/checkers/coordination.py
+++ b/zinctrail/simulation/checkers/coordination.py
@@ -83,10 +83,12 @@
 
 def _lost_history(watch: actor_notes.Watch, writes: list[actor_notes.Operation]) -> list[str]:
     """A watch that was refused though nothing it asked for is older than the history must reach."""
-    is_old = any(write.revision > watch.since and write.answered_at < watch.sent_at - HISTORY_LEAST for write in writes)
-    if watch.since_at is None or is_old or watch.answered_at - watch.since_at >= HISTORY_LEAST:
+    is_old = any(
+        write.revision > watch.since and write.responded_at < watch.sent_at - HISTORY_LEAST for write in writes
+    )
+    if watch.since_at is None or is_old or watch.responded_at - watch.since_at >= HISTORY_LEAST:
         return []
-    return [f'watch from {watch.since} lost history of {seconds(watch.answered_at - watch.since_at)}']
+    return [f'watch from {watch.since} lost history of {seconds(watch.responded_at - watch.since_at)}']
 
 
 def _missed(watch: actor_notes.Watch, writes: list[actor_notes.Operation]) -> list[str]:
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -27,7 +27,7 @@
     _of_losses(deployment, worst)
     for watch in deployment.notes.watches:
         if not watch.is_gone and watch.since_at is not None:
-            worst.add('history_ms', durations.to_ms(watch.answered_at - watch.since_at))
+            worst.add('history_ms', durations.to_ms(watch.responded_at - watch.since_at))
     return dict(worst)
 
 
@@ -53,9 +53,9 @@
         # Runs that a later configuration allows again tell nothing about this one.
         later = [apply for apply in good if apply.generation > new.generation]
         late = [
-            run.at - new.answered_at
+            run.at - new.responded_at
             for run in deployment.notes.arrivals
-            if new.answered_at < run.at < new.answered_at + ms(5000)
+            if new.responded_at < run.at < new.responded_at + ms(5000)
             and not configuration_checkers.is_allowed(new.config, run)
             and configuration_checkers.is_allowed(old.config, run)
             and not any(
--- a/zinctrail/simulation/checkers/open_configuration.py
+++ b/zinctrail/simulation/checkers/open_configuration.py
@@ -57,7 +57,7 @@
         rows: typing.Iterable[open_notes.Change], at: datetime.timedelta, over: datetime.timedelta
     ) -> list[open_notes.Change]:
         """Changes whose acknowledgement lies further back than the bound."""
-        return [change for change in rows if change.status == 200 and change.answered_at + over < at]
+        return [change for change in rows if change.status == 200 and change.responded_at + over < at]
 
 
 def rule_key(attempt: open_notes.Attempt) -> str:
@@ -92,7 +92,7 @@
         sent_at = attempt.sent_at
         front = attempt.front
         key = rule_key(attempt)
-        slack = deployment.contact.slack(front, attempt.answered_at or sent_at, sent_at - TERMS.config)
+        slack = deployment.contact.slack(front, attempt.responded_at or sent_at, sent_at - TERMS.config)
         if slack is None:
             continue
         over = TERMS.config + slack
@@ -209,12 +209,14 @@
 
 def _not_kept(key: str, changes: list[open_notes.Change], row: dict | None, read: open_notes.Read) -> list[str]:
     """What is wrong with one item of a read, where something is."""
-    acknowledged = [change.version for change in changes if change.status == 200 and change.answered_at <= read.sent_at]
+    acknowledged = [
+        change.version for change in changes if change.status == 200 and change.responded_at <= read.sent_at
+    ]
     floor = max(acknowledged, default=-1)
     possible = [
         change
         for change in changes
-        if change.sent_at <= read.answered_at and change.version >= floor and change.status not in REFUSED
+        if change.sent_at <= read.responded_at and change.version >= floor and change.status not in REFUSED
     ]
     if (floor < 0 and row is None) or any(change.row == row for change in possible):
         return []
@@ -236,7 +238,7 @@
         and 300 <= attempt.status < 500
         and attempt.status not in (408, 421, 429)
         and 'zt-stamp' not in attempt.headers
-        and deployment.contact.is_bound(attempt.front, attempt.answered_at)
+        and deployment.contact.is_bound(attempt.front, attempt.responded_at)
         and versions.must_route(rule_key(attempt), attempt.sent_at, TERMS.config)
     ]
     if len(wrong) > 5 + len(attempts) / 500:
@@ -260,7 +262,7 @@
         if order.is_invalid or id(order) in contested:
             continue
         until = order.sent_at + TERMS.ack + ms(3) * order.size
-        end = order.answered_at if order.status == 200 else deployment.world.now
+        end = order.responded_at if order.status == 200 else deployment.world.now
         is_settled = open_contact.is_calm(contact.control, order.sent_at - TERMS.contact, until)
         # No stretch counts in which acknowledgements are lost.
         is_late = end > until and is_settled and open_contact.is_calm(notes.ack_losses, order.sent_at, until)
--- a/zinctrail/simulation/checkers/open_coordination.py
+++ b/zinctrail/simulation/checkers/open_coordination.py
@@ -34,11 +34,11 @@
     """Rows whose number was given twice, or is not above one given before the call was sent."""
     counts = collections.Counter(map(number, rows))
     findings = [f'{what} {value} was given {count} times' for value, count in counts.items() if count > 1]
-    ended = sorted(rows, key=lambda row: row.answered_at)
+    ended = sorted(rows, key=lambda row: row.responded_at)
     position = 0
     top = None
     for row in sorted(rows, key=lambda row: row.sent_at):
-        while position < len(ended) and ended[position].answered_at <= row.sent_at:
+        while position < len(ended) and ended[position].responded_at <= row.sent_at:
             top = max(top or 0, number(ended[position]))
             position += 1
         if top is not None and number(row) <= top:
@@ -96,7 +96,7 @@
     findings = []
     by_name = registry.grouped(acknowledged_puts(deployment), lambda put: put.name)
     for get in deployment.notes.gets:
-        earlier = [put.revision for put in by_name.get(get.name, ()) if put.answered_at <= get.sent_at]
+        earlier = [put.revision for put in by_name.get(get.name, ()) if put.responded_at <= get.sent_at]
         floor = max(earlier, default=0)
         if get.revision < floor:
             findings.append(
@@ -109,10 +109,10 @@
     """(name, value, revision, when) of all that reads and watches showed."""
     for get in deployment.notes.gets:
         if get.value is not None:
-            yield get.name, get.value, get.revision, get.answered_at
+            yield get.name, get.value, get.revision, get.responded_at
     for watch in deployment.notes.watches:
         for event in watch.events:
-            yield event['name'], event['value'], event['rev'], watch.answered_at
+            yield event['name'], event['value'], event['rev'], watch.responded_at
 
 
 @check('value')
@@ -156,5 +156,5 @@
         for watch in deployment.notes.watches
         if watch.status == 410
         and watch.given_at is not None
-        and watch.answered_at - watch.given_at < terms.TERMS.history
+        and watch.responded_at - watch.given_at < terms.TERMS.history
     ]
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -33,7 +33,7 @@
             _add_evacuation(deployment, evacuation, worst)
     for order in notes.orders:
         if order.status == 200:
-            worst.add('ack_ms', durations.to_ms(order.answered_at - order.sent_at))
+            worst.add('ack_ms', durations.to_ms(order.responded_at - order.sent_at))
     good = sum(attempt.is_success() for attempt in notes.attempts)
     worst.add('failed_share', 1 - good / max(1, len(notes.attempts)))
     return dict(worst)
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -44,7 +44,7 @@
     """A status promises that a request has not run, and it has."""
     ran = by_id(deployment.notes.runs)
     return [
-        f'{attempt.id} told {attempt.status} at {seconds(attempt.answered_at)}, ran at {seconds(ran[attempt.id][0].at)}'
+        f'{attempt.id} told {attempt.status} at {seconds(attempt.responded_at)}, ran at {seconds(ran[attempt.id][0].at)}'
         for attempt in deployment.notes.attempts
         if attempt.request.runs_once and attempt.is_answered() and attempt.status in terms.PROMISE and attempt.id in ran
     ]
@@ -130,22 +130,22 @@
     kills = _times_of(deployment.world.process_events, ('kill', 'pause', 'reset'))
     ran = by_id(deployment.notes.runs)
     for attempt in deployment.notes.attempts:
-        if attempt.answered_at is None or not attempt.was_sent:
+        if attempt.responded_at is None or not attempt.was_sent:
             continue
         for stopped_at in stops[attempt.front]:
             until = stopped_at + TERMS.grace + ms(1000)
-            if not stopped_at <= attempt.answered_at <= until or attempt.sent_at > attempt.answered_at:
+            if not stopped_at <= attempt.responded_at <= until or attempt.sent_at > attempt.responded_at:
                 continue
             if _is_disturbed(deployment, attempt, kills[attempt.front]):
                 continue
             if attempt.fault == 'connection lost':
                 findings.append(
                     f'{attempt.id} sent at {seconds(attempt.sent_at)} was broken off at'
-                    f' {seconds(attempt.answered_at)} by {attempt.front}, told to end at {seconds(stopped_at)}'
+                    f' {seconds(attempt.responded_at)} by {attempt.front}, told to end at {seconds(stopped_at)}'
                 )
             elif _ended_while_at_work(deployment, attempt, ran):
                 findings.append(
-                    f'{attempt.id} got {attempt.status} at {seconds(attempt.answered_at)} while at work,'
+                    f'{attempt.id} got {attempt.status} at {seconds(attempt.responded_at)} while at work,'
                     f' {attempt.front} was told to end at {seconds(stopped_at)}'
                 )
     return findings
@@ -156,7 +156,7 @@
 ) -> bool:
     """Whether the front was killed, stood still or was cut off around the attempt."""
     since = attempt.sent_at - TERMS.contact
-    until = attempt.answered_at
+    until = attempt.responded_at
     return any(since <= at <= until for at in kills) or any(
         cut.begins_at <= until and (cut.ends_at is None or cut.ends_at >= since)
         for cut in deployment.notes.cuts
@@ -172,12 +172,12 @@
     is_own_error = (
         attempt.is_answered() and attempt.status >= 500 and attempt.status != 503 and 'zt-stamp' not in attempt.headers
     )
-    if not is_own_error or attempt.answered_at >= attempt.request.until - ms(50):
+    if not is_own_error or attempt.responded_at >= attempt.request.until - ms(50):
         return False
     if request_id not in ran or request_id in deployment.notes.broke:
         return False
     done = [given.at for given in deployment.notes.given_answers.get(request_id, ())]
-    return not done or max(done) > attempt.answered_at
+    return not done or max(done) > attempt.responded_at
 
 
 @check('held')
@@ -185,14 +185,14 @@
     """A request that was given up is not answered at once: nobody is left without an answer, offered to no endpoint."""
     offered = by_id(deployment.notes.arrivals)
     return [
-        f'{attempt.id} of {attempt.request.rule} had no answer from {attempt.front} by {seconds(attempt.answered_at)}'
+        f'{attempt.id} of {attempt.request.rule} had no answer from {attempt.front} by {seconds(attempt.responded_at)}'
         for attempt in deployment.notes.attempts
         if attempt.fault == 'late'
         and attempt.left_at is None
         and attempt.id not in offered
         and attempt.id not in deployment.notes.swallowed
-        and deployment.contact.is_bound(attempt.front, attempt.answered_at, attempt.sent_at)
-        and attempt.answered_at - attempt.sent_at > ms(300)
+        and deployment.contact.is_bound(attempt.front, attempt.responded_at, attempt.sent_at)
+        and attempt.responded_at - attempt.sent_at > ms(300)
     ]
 
 
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -41,7 +41,7 @@
         has_run = any(number <= attempt.number for number in ran[attempt.id])
         if attempt.outcome == 'not-run' and attempt.is_whole and has_run:
             findings.append(
-                f'{attempt.id} attempt {attempt.number} told not-run at {seconds(attempt.answered_at)},'
+                f'{attempt.id} attempt {attempt.number} told not-run at {seconds(attempt.responded_at)},'
                 f' ran as {sorted(ran[attempt.id])}'
             )
     for reply in deployment.notes.replies:
--- a/zinctrail/simulation/linearizability.py
+++ b/zinctrail/simulation/linearizability.py
@@ -1,6 +1,6 @@
 """Is there one order of operations, each within its own time, that a model allows?
 
-An operation is an actors.notes.Operation: it has sent_at, answered_at and result; answered_at is None where
+An operation is an actors.notes.Operation: it has sent_at, responded_at and result; responded_at is None where
 its result is unknown: it may have happened at any time since sent_at, or never.
 A model gives step(state, operation) -> the next state, or None where the
 operation can't have happened there with that result.
@@ -43,7 +43,7 @@
     :raises UndecidedError: the search took too many steps.
     """
     operations = sorted(operations, key=lambda operation: operation.sent_at)
-    ends = [operation.answered_at for operation in operations]
+    ends = [operation.responded_at for operation in operations]
     last_end = max((end for end in ends if end is not None), default=None)
     if last_end is None:
         return None
--- a/zinctrail/simulation/open_actors/application.py
+++ b/zinctrail/simulation/open_actors/application.py
@@ -171,7 +171,7 @@
             self.deployment.notes.puts.append(put)
             body = {'name': name, 'value': put.value, 'rev': put.expected_revision}
             response = yield self.call('/v1/cell/put', body)
-            put.answered_at = self.world.now
+            put.responded_at = self.world.now
             put.status = response.status
             put.statuses = list(response.statuses)
             if response.status == 200:
@@ -197,7 +197,7 @@
             get = open_notes.Get(
                 name=name,
                 sent_at=response.sent_at,
-                answered_at=self.world.now,
+                responded_at=self.world.now,
                 value=response.document.get('value'),
                 revision=response.document.get('rev', 0),
             )
@@ -220,7 +220,7 @@
                 since=after,
                 given_at=given_at.get(group),
                 sent_at=sent_at,
-                answered_at=self.world.now,
+                responded_at=self.world.now,
                 status=response.status,
                 revision=response.document.get('rev'),
                 events=response.document.get('events', []),
--- a/zinctrail/simulation/open_actors/client.py
+++ b/zinctrail/simulation/open_actors/client.py
@@ -167,7 +167,7 @@
         retries: int,
     ) -> None:
         """Record the response to an attempt, and retry where that is allowed."""
-        attempt.answered_at = self.world.now
+        attempt.responded_at = self.world.now
         attempt.status = result.status
         attempt.fault = result.fault
         attempt.headers = result.headers
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -161,7 +161,7 @@
 
         def on_drain_response(response: 'open_deployment.Response') -> None:
             """Record the response; deregister after the bound on late requests, or soon if draining was refused."""
-            order.answered_at = world.now
+            order.responded_at = world.now
             order.status = response.status
             if incarnation != self.incarnation:
                 return
--- a/zinctrail/simulation/open_actors/notes.py
+++ b/zinctrail/simulation/open_actors/notes.py
@@ -40,7 +40,7 @@
     # The incarnation count of the proxy process behind the ingress.
     front_incarnation: int
     sent_at: Time
-    answered_at: Time | None = None
+    responded_at: Time | None = None
     status: int | None = None
     fault: str | None = None
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -52,7 +52,7 @@
 
     def is_answered(self) -> bool:
         """True if a complete response arrived."""
-        return self.answered_at is not None and not self.fault and bool(self.status)
+        return self.responded_at is not None and not self.fault and bool(self.status)
 
     def is_success(self) -> bool:
         """True if a complete response with a 2xx status arrived."""
@@ -121,7 +121,7 @@
     # The number of items in it.
     size: int
     sent_at: Time
-    answered_at: Time | None = None
+    responded_at: Time | None = None
     status: int | None = None
     is_invalid: bool = False
 
@@ -136,7 +136,7 @@
     row: dict | None
     sent_at: Time
     order: Order
-    answered_at: Time | None = None
+    responded_at: Time | None = None
     status: int | None = None
     is_invalid: bool = False
 
@@ -145,7 +145,7 @@
     """All items as read back by an operator; None if there was no response."""
 
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     items: dict | None
 
 
@@ -171,7 +171,7 @@
     """A number that an application received."""
 
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     value: int
 
 
@@ -183,7 +183,7 @@
     value: str
     expected_revision: int
     sent_at: Time
-    answered_at: Time | None = None
+    responded_at: Time | None = None
     # The revision that it got, and the one that a refusal reported.
     revision: int | None = None
     named_revision: int | None = None
@@ -198,7 +198,7 @@
 
     name: str
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     value: str | None
     revision: int
 
@@ -212,7 +212,7 @@
     # When that revision was received; None if the watch started over.
     given_at: Time | None
     sent_at: Time
-    answered_at: Time
+    responded_at: Time
     status: int
     revision: int | None
     events: list[dict]
--- a/zinctrail/simulation/open_actors/operator.py
+++ b/zinctrail/simulation/open_actors/operator.py
@@ -60,10 +60,10 @@
 
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the status of the command and of each item in it."""
-            order.answered_at = self.world.now
+            order.responded_at = self.world.now
             order.status = response.status
             for change in changes:
-                change.answered_at = self.world.now
+                change.responded_at = self.world.now
                 change.status = response.status
             callback(response.status)
             if response.status == 200:
@@ -79,7 +79,7 @@
 
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the status, and the evacuation once it is acknowledged."""
-            order.answered_at = self.world.now
+            order.responded_at = self.world.now
             order.status = response.status
             if response.status == 200:
                 evacuation.acknowledged_at = self.world.now
