--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -219,7 +219,7 @@
         scenario = context.make(context.names, seed, checker)
         assert scenario.verdicts(checker) == [], (scenario.verdicts(checker)[:5], scenario.replay_command())
         # A day in which nothing was served, or no fault had a target, would prove nothing.
-        assert len(scenario.deployment.notes.runs) > 500, scenario.deployment.tally()
+        assert len(scenario.deployment.records.runs) > 500, scenario.deployment.tally()
         assert not scenario.missed, scenario.missed
 
 
@@ -242,7 +242,7 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.days as days
 scenario = days.Scenario(int(sys.argv[1]), sys.argv[2].split(','), length=durations.ms(10000)).run()
-records = scenario.world.lines, scenario.world.inputs, scenario.deployment.notes.replies
+records = scenario.world.lines, scenario.world.inputs, scenario.deployment.records.replies
 print(hashlib.sha256(repr(records).encode()).hexdigest())
 """
 
@@ -278,7 +278,7 @@
 def no_violation_happened(context):
     violations = context.simulated_scenario.verdicts()
     assert not violations, (violations[:5], context.simulated_scenario.replay_command())
-    assert len(context.simulated_scenario.deployment.notes.runs) > 300, context.simulated_scenario.deployment.tally()
+    assert len(context.simulated_scenario.deployment.records.runs) > 300, context.simulated_scenario.deployment.tally()
 
 
 @behave.given('{shape} at {rate:d} a second, a day of {names}, seed {seed:d}')
--- a/features/steps/first_start_steps.py
+++ b/features/steps/first_start_steps.py
@@ -9,8 +9,8 @@
 import zinctrail.fleet.deployments as deployments
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.deployment as client_deployment
-import zinctrail.simulation.actors.notes as actor_notes
 import zinctrail.simulation.actors.operator as operator_actor
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.first_starts as first_starts
 
 ms = durations.ms
@@ -189,7 +189,7 @@
     for simulated in context.first_start.worlds:
         # Without endpoints and callers, of which an operator needs nothing.
         deployment = client_deployment.Deployment.__new__(client_deployment.Deployment)
-        deployment.world, deployment.notes = simulated, actor_notes.Notes()
+        deployment.world, deployment.records = simulated, actor_records.Records()
         zones = [node.location.cell for node in simulated.nodes.values()]
         regions = {zone: {'region': zone.split('/')[0]} for zone in zones}
         statuses = []
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -265,7 +265,7 @@
     response = wait_for(context, context.response)
     assert response.status in (200, 404, 500) and response.headers['zt-outcome'] == 'ran', response
     assert response.document['id'] == context.request_id, response
-    assert sum(run.id == context.request_id for run in context.deployment.notes.runs) == 1
+    assert sum(run.id == context.request_id for run in context.deployment.records.runs) == 1
 
 
 @behave.when('a change is accepted and another is asked for with its id')
--- a/features/steps/recover_steps.py
+++ b/features/steps/recover_steps.py
@@ -73,7 +73,7 @@
     context.old = OldCounters(
         leader.cluster, leader.term, leader.replica.committed[1], leader.replica.get('meta', 'epoch')
     )
-    context.old_runs = [run for run in deployment.notes.runs if run.service == 'loans'][-5:]
+    context.old_runs = [run for run in deployment.records.runs if run.service == 'loans'][-5:]
 
 
 def write_state(context):
@@ -149,7 +149,7 @@
 @behave.then('the settings are read back whole, and requests run again within {seconds:d} s')
 def settings_are_recovered(context, seconds: int):
     simulated = context.world
-    runs = context.deployment.notes.runs
+    runs = context.deployment.records.runs
     before = len(runs)
     assert simulated.run(ms(1000 * seconds), lambda: len(runs) > before + 20), 'no service'
     assert simulated.now <= context.recovered_at + ms(1000 * seconds)
@@ -206,7 +206,7 @@
 
 def run_counts(context):
     """How often each of the old requests ran."""
-    runs = context.deployment.notes.runs
+    runs = context.deployment.records.runs
     return {old.id: sum(run.id == old.id for run in runs) for old in context.old_runs}
 
 
--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -7,7 +7,7 @@
 import zinctrail.simulation.days as days
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.open_actors.endpoint as open_endpoint
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_checks as open_checks
 import zinctrail.simulation.open_days as open_days
 import zinctrail.simulation.search as search
@@ -67,17 +67,17 @@
 # -- made-up notes ---------------------------------------------------------------------
 
 
-def acknowledged(notes, version, at):
+def acknowledged(records, version, at):
     """Note that a version of the rule was acknowledged."""
     row = dict(RULE, version=version)
-    order = open_notes.Order('change', size=1, sent_at=at - ms(50))
-    change = open_notes.Change('rules/r-new', version, row, order.sent_at, order, responded_at=at, status=200)
-    notes.changes.append(change)
+    order = open_records.Order('change', size=1, sent_at=at - ms(50))
+    change = open_records.Change('rules/r-new', version, row, order.sent_at, order, responded_at=at, status=200)
+    records.changes.append(change)
 
 
-def turned_away(notes, number, at):
+def turned_away(records, number, at):
     """Note a request that got 404."""
-    request = open_notes.Request(
+    request = open_records.Request(
         number=str(number),
         rule='r-new',
         runs_once=False,
@@ -89,7 +89,7 @@
         sent_at=at,
         until=at + ms(1000),
     )
-    attempt = open_notes.Attempt(
+    attempt = open_records.Attempt(
         id=f'{number:016x}',
         request=request,
         front='prox0',
@@ -98,7 +98,7 @@
         responded_at=at + ms(5),
         status=404,
     )
-    notes.attempts.append(attempt)
+    records.attempts.append(attempt)
 
 
 def seconds(text):
@@ -109,9 +109,9 @@
 @behave.given('notes of a rule acknowledged at {acked} s, and {requests:d} requests for it at {at} s that got 404')
 def note_rule_and_requests(context, acked, requests, at):
     context.deployment = open_days.Scenario(1).deployment
-    acknowledged(context.deployment.notes, 1, seconds(acked))
+    acknowledged(context.deployment.records, 1, seconds(acked))
     for number in range(requests):
-        turned_away(context.deployment.notes, number, seconds(at))
+        turned_away(context.deployment.records, number, seconds(at))
 
 
 @behave.given(
@@ -120,10 +120,10 @@
 )
 def note_changed_rule_and_requests(context, acked, changed, requests, at):
     context.deployment = open_days.Scenario(1).deployment
-    acknowledged(context.deployment.notes, 1, seconds(acked))
-    acknowledged(context.deployment.notes, 2, seconds(changed))
+    acknowledged(context.deployment.records, 1, seconds(acked))
+    acknowledged(context.deployment.records, 2, seconds(changed))
     for number in range(requests):
-        turned_away(context.deployment.notes, number, seconds(at))
+        turned_away(context.deployment.records, number, seconds(at))
 
 
 @behave.then('checker {checker} says {verdict:w}')
@@ -143,9 +143,9 @@
 @behave.when('a simulated endpoint drains')
 def drain_endpoint(context):
     an_endpoint(context).drain()
-    notes = context.deployment.notes
-    assert context.world.run(ms(6000), lambda: bool(notes.states))
-    context.acked_at = notes.states[-1].acknowledged_at
+    records = context.deployment.records
+    assert context.world.run(ms(6000), lambda: bool(records.states))
+    context.acked_at = records.states[-1].acknowledged_at
 
 
 @behave.then('it is up {up} s after the acknowledgement, and gone at {gone} s')
@@ -164,7 +164,7 @@
     fetch = effects.HttpFetch(1, end.address, end.incarnation_id, 'GET', '/x', headers, b'', WAIT, plain=True)
     context.world.fetch_endpoint('prox0', fetch).addCallback(got.append)
     context.world.run(WAIT * 2, lambda: bool(got))
-    return got[0].fault or str(got[0].status), sum(run.id == rid for run in context.deployment.notes.runs)
+    return got[0].fault or str(got[0].status), sum(run.id == rid for run in context.deployment.records.runs)
 
 
 @behave.when('an endpoint drops connections that rested for {rest:d} ms')
@@ -203,8 +203,8 @@
     context.deployment.start_clients()
     context.proxy = context.world.of('prox')[0]
     assert context.world.run(ms(9000), lambda: len(context.proxy.requests) > 1)
-    notes = context.deployment.notes
-    context.under_way = [tr for tr in notes.attempts if tr.responded_at is None and tr.front == context.proxy.name]
+    records = context.deployment.records
+    context.under_way = [tr for tr in records.attempts if tr.responded_at is None and tr.front == context.proxy.name]
     assert context.under_way
     context.world.reset(context.proxy, 1.0)
     context.reset_at = context.world.now
@@ -223,7 +223,7 @@
     context.world.run(ms(3000))
     served = [
         tr
-        for tr in context.deployment.notes.attempts
+        for tr in context.deployment.records.attempts
         if tr.front == context.proxy.name and tr.sent_at > context.reset_at and tr.is_success()
     ]
     assert served
--- a/zinctrail/fleet/replay_simulated.py
+++ b/zinctrail/fleet/replay_simulated.py
@@ -6,7 +6,7 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.application as application_actor
 import zinctrail.simulation.actors.caller as caller_actor
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checks as checks
 import zinctrail.simulation.days as days
 
@@ -39,7 +39,7 @@
             world.at(began + ms(event['at_ms'] / speed), getattr(self, 'do_' + event['do']), event)
         world.run(ms((events[-1]['at_ms'] if events else 0) / speed + END_MS))
         waits = histogram.latency_histogram(
-            response.responded_at - response.sent_at for response in deployment.notes.replies
+            response.responded_at - response.sent_at for response in deployment.records.replies
         )
         figures = {'outcomes': deployment.tally(), 'calls': self.counts, 'waits_ms': histogram.spread(waits)}
         return replay_events.Report(figures, checks.run(deployment))
@@ -85,7 +85,7 @@
         """Inject a fault that ends by itself; the checkers require service only from its end on."""
         duration = days.FAULTS[event['name']](self.scenario)
         self.world.after(
-            duration, lambda: self.deployment.notes.losses.append(actor_notes.Loss(self.world.now, event['name']))
+            duration, lambda: self.deployment.records.losses.append(actor_records.Loss(self.world.now, event['name']))
         )
 
 
--- a/zinctrail/simulation/actors/application.py
+++ b/zinctrail/simulation/actors/application.py
@@ -11,7 +11,7 @@
 import zinctrail.errors as errors
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.caller as caller_actor
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.observations as observations
 
 if typing.TYPE_CHECKING:
@@ -99,13 +99,13 @@
     def believe(self, lock: coordination.Lock) -> None:
         """Note that it believes in the lock until its lease ends."""
         if lock.is_held():
-            self.deployment.notes.locks.append(
+            self.deployment.records.locks.append(
                 observations.LockBelief(lock.name, self.name, lock.fencing_token, self.world.now, lock.expires_at)
             )
 
     def stop_believing(self, lock: coordination.Lock) -> None:
         """From now on it does not believe in what it took, renewals included."""
-        for belief in self.deployment.notes.locks:
+        for belief in self.deployment.records.locks:
             if belief.name == lock.name and belief.holder == self.name:
                 belief.stop(self.world.now)
 
@@ -115,8 +115,8 @@
     def take_numbers(self) -> typing.Generator[typing.Any, typing.Any, None]:
         """Take the next number, again and again."""
         while self.on:
-            operation = actor_notes.Operation('next', 'orders', self.world.now)
-            self.deployment.notes.numbers.append(operation)
+            operation = actor_records.Operation('next', 'orders', self.world.now)
+            self.deployment.records.numbers.append(operation)
             try:
                 operation.value = yield self.library.next_number('orders')
                 operation.responded_at = self.world.now
@@ -128,10 +128,10 @@
     @defer.inlineCallbacks
     def operate(
         self, kind: str, key: str, value: str | None = None, expected_revision: int | None = None
-    ) -> typing.Generator[typing.Any, typing.Any, actor_notes.Operation]:
+    ) -> typing.Generator[typing.Any, typing.Any, actor_records.Operation]:
         """One operation on a key: a Deferred of it, with what is known of its result."""
-        operation = actor_notes.Operation(kind, key, self.world.now, value=value, expected_revision=expected_revision)
-        self.deployment.notes.keys.append(operation)
+        operation = actor_records.Operation(kind, key, self.world.now, value=value, expected_revision=expected_revision)
+        self.deployment.records.keys.append(operation)
         try:
             if kind == 'put':
                 operation.revision = yield self.library.put(key, value, expected_revision)
@@ -188,15 +188,15 @@
                     continue
                 yield self.library.sleep(ms(self.rng.choice(WATCH_PAUSES_MS)))
                 document = yield self.library.watch('k/', since, WATCH_WAIT)
-                watch = actor_notes.Watch('k/', since, since_at, sent_at, self.world.now)
+                watch = actor_records.Watch('k/', since, since_at, sent_at, self.world.now)
                 watch.head = document['head']
                 watch.events = document['events']
-                self.deployment.notes.watches.append(watch)
+                self.deployment.records.watches.append(watch)
                 since = watch.head
                 since_at = self.world.now
             except errors.CoordinationError as error:
                 if error.status == 410:
-                    watch = actor_notes.Watch('k/', since, since_at, sent_at, self.world.now, is_gone=True)
-                    self.deployment.notes.watches.append(watch)
+                    watch = actor_records.Watch('k/', since, since_at, sent_at, self.world.now, is_gone=True)
+                    self.deployment.records.watches.append(watch)
                     since = None
                 yield self.library.sleep(RETRY_AFTER)
--- a/zinctrail/simulation/actors/caller.py
+++ b/zinctrail/simulation/actors/caller.py
@@ -9,7 +9,7 @@
 import zinctrail.client.request_client as request_client
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.node as simulated_node
 
 if typing.TYPE_CHECKING:
@@ -137,8 +137,8 @@
         self, reply: request_client.Response, service: str, sent_at: datetime.timedelta
     ) -> request_client.Response:
         """Note a reply; in a storm, go on and repeat by hand."""
-        self.deployment.notes.replies.append(
-            actor_notes.Reply(
+        self.deployment.records.replies.append(
+            actor_records.Reply(
                 sent_at=sent_at,
                 responded_at=self.world.now,
                 id=reply.id,
@@ -185,8 +185,8 @@
         """Note how an attempt at a proxy ended; other calls of the library are passed over."""
         if 'zt-id' not in headers:
             return
-        self.deployment.notes.attempts.append(
-            actor_notes.Attempt(
+        self.deployment.records.attempts.append(
+            actor_records.Attempt(
                 responded_at=self.world.now,
                 id=headers['zt-id'],
                 number=int(headers['zt-attempt']),
--- a/zinctrail/simulation/actors/deployment.py
+++ b/zinctrail/simulation/actors/deployment.py
@@ -7,8 +7,8 @@
 import zinctrail.simulation.actors.application as application_actor
 import zinctrail.simulation.actors.caller as caller_actor
 import zinctrail.simulation.actors.endpoint as endpoint_actor
-import zinctrail.simulation.actors.notes as actor_notes
 import zinctrail.simulation.actors.operator as operator_actor
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.world as simulated_world
 
 ms = durations.ms
@@ -30,7 +30,7 @@
         self.world = world
         self.shape = shape
         self.plain = plain
-        self.notes = actor_notes.Notes()
+        self.records = actor_records.Records()
         self.cells = deployments.zones_of(shape)
         self.endpoints: list[endpoint_actor.Endpoint] = []
         self.callers: list[caller_actor.Caller] = []
@@ -107,6 +107,6 @@
     def tally(self) -> dict[str, int]:
         """How many requests ended in which outcome."""
         counts: dict[str, int] = {}
-        for reply in self.notes.replies:
+        for reply in self.records.replies:
             counts[reply.outcome] = counts.get(reply.outcome, 0) + 1
         return counts
--- a/zinctrail/simulation/actors/endpoint.py
+++ b/zinctrail/simulation/actors/endpoint.py
@@ -7,7 +7,7 @@
 import zinctrail.client.admission as admission
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.node as simulated_node
 
 if typing.TYPE_CHECKING:
@@ -137,14 +137,14 @@
         """Note an acknowledged state, or a 410, after which a new incarnation begins."""
         if incarnation != self.incarnation:
             return
-        notes = self.deployment.notes
+        records = self.deployment.records
         now = self.world.now
         state = body['state']
         sent_by = body['inc']
         if result.status == 200 and state != 'ready':
-            notes.states.append(actor_notes.StateChange(now, sent_at, sent_by, state))
+            records.states.append(actor_records.StateChange(now, sent_at, sent_by, state))
         if result.status == 410 and self.admission.incarnation == sent_by:
-            notes.gone.setdefault(sent_by, now)
+            records.gone.setdefault(sent_by, now)
             self.admission.start_incarnation()
             self.incarnations.add(self.admission.incarnation)
         if result.status != 200:
@@ -158,10 +158,10 @@
             callback(effects.HttpResult(*self.admission.liveness()))
             return
         headers = call.headers
-        notes = self.deployment.notes
+        records = self.deployment.records
         self.warm_up()
         arrival = self.arrival_of(headers)
-        notes.arrivals.append(arrival)
+        records.arrivals.append(arrival)
         if self.refuses:
             self.world.after(ms(self.work_ms[0]), self.refuse_after_work, headers, callback)
             return
@@ -170,13 +170,13 @@
             callback(effects.HttpResult(*refusal))
             return
         self.running += 1
-        notes.runs.append(arrival)
+        records.runs.append(arrival)
         work = ms(self.world.rng.uniform(*self.work_ms))
         self.world.after(work, self.finish, self.incarnation, headers, callback)
 
-    def arrival_of(self, headers: dict[str, str]) -> actor_notes.Arrival:
+    def arrival_of(self, headers: dict[str, str]) -> actor_records.Arrival:
         """The note of a request that arrives now."""
-        return actor_notes.Arrival(
+        return actor_records.Arrival(
             at=self.world.now,
             id=headers['zt-id'],
             attempt=int(headers['zt-attempt']),
--- a/zinctrail/simulation/actors/operator.py
+++ b/zinctrail/simulation/actors/operator.py
@@ -7,7 +7,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.node as simulated_node
 
 if typing.TYPE_CHECKING:
@@ -69,8 +69,8 @@
         def answered(status: int, document: dict) -> None:
             """Note what was read, and pass it on."""
             if status == 200:
-                self.deployment.notes.reads.append(
-                    actor_notes.Read(sent_at, self.world.now, document['generation'], document['config'])
+                self.deployment.records.reads.append(
+                    actor_records.Read(sent_at, self.world.now, document['generation'], document['config'])
                 )
             callback(document if status == 200 else None)
 
@@ -96,8 +96,8 @@
             if status in UNKNOWN and left:
                 self.world.after(RETRY_AFTER, self.ask, 'PUT', '/v1/config', body, answered, APPLY_TIMEOUT)
                 return
-            self.deployment.notes.applies.append(
-                actor_notes.Apply(sent_at, self.world.now, status, base, document.get('generation'), config)
+            self.deployment.records.applies.append(
+                actor_records.Apply(sent_at, self.world.now, status, base, document.get('generation'), config)
             )
             callback(status, document)
 
@@ -146,7 +146,7 @@
             if status == 200:
                 listed = set(document['state']['endpoints'])
                 for incarnation in seen - listed:
-                    self.deployment.notes.gone.setdefault(incarnation, self.world.now)
+                    self.deployment.records.gone.setdefault(incarnation, self.world.now)
                 seen.update(listed)
             self.world.after(every, self.watch_status, seen)
 
@@ -166,8 +166,8 @@
         def changed(status: int, document: dict) -> None:
             """Note the order once it is acknowledged."""
             if status == 200:
-                self.deployment.notes.evacuations.append(
-                    actor_notes.Evacuation(sent_at, self.world.now, cell, is_evacuated)
+                self.deployment.records.evacuations.append(
+                    actor_records.Evacuation(sent_at, self.world.now, cell, is_evacuated)
                 )
 
         self.change(set_evacuated, changed)
--- a/zinctrail/simulation/actors/notes.py
+++ b/zinctrail/simulation/actors/records.py
@@ -139,7 +139,7 @@
     fault: str
 
 
-class Notes:
+class Records:
     """All that was seen from outside, in the order of virtual time."""
 
     def __init__(self):
--- a/zinctrail/simulation/checkers/configuration.py
+++ b/zinctrail/simulation/checkers/configuration.py
@@ -8,7 +8,7 @@
 import zinctrail.control.configuration as configuration
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.deployment as client_deployment
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.checkers.requests as request_checkers
 
@@ -23,7 +23,7 @@
 CLEAR = (200, 400, 409)
 
 
-def is_allowed(config: dict, run: actor_notes.Arrival) -> bool:
+def is_allowed(config: dict, run: actor_records.Arrival) -> bool:
     """Whether this configuration lets a run of this service be at this endpoint."""
     labels = {
         **(config['cells'].get(run.cell, {}).get('labels') or {}),
@@ -41,9 +41,9 @@
     return False
 
 
-def accepted(deployment: client_deployment.Deployment) -> list[actor_notes.Apply]:
+def accepted(deployment: client_deployment.Deployment) -> list[actor_records.Apply]:
     """The applies that were acknowledged, in the order of their generations."""
-    good = [apply for apply in deployment.notes.applies if apply.status == 200]
+    good = [apply for apply in deployment.records.applies if apply.status == 200]
     return sorted(good, key=lambda apply: apply.generation)
 
 
@@ -53,12 +53,12 @@
     good = accepted(deployment)
     return [
         f'{run.id} at {seconds(run.at)} ran at {run.address}, which no configuration in force allows'
-        for run in deployment.notes.arrivals
+        for run in deployment.records.arrivals
         if not _fits_one_in_force(good, run) and not _may_be_in_force(deployment, run)
     ]
 
 
-def _fits_one_in_force(good: list[actor_notes.Apply], run: actor_notes.Arrival) -> bool:
+def _fits_one_in_force(good: list[actor_records.Apply], run: actor_records.Arrival) -> bool:
     """Whether some accepted configuration that was in force then allows the run."""
     for position, apply in enumerate(good):
         is_newest = position + 1 == len(good)
@@ -68,11 +68,11 @@
     return False
 
 
-def _may_be_in_force(deployment: client_deployment.Deployment, run: actor_notes.Arrival) -> bool:
+def _may_be_in_force(deployment: client_deployment.Deployment, run: actor_records.Arrival) -> bool:
     """An apply whose reply was lost may be in force; config-kept is what judges it."""
     return any(
         apply.status not in CLEAR and apply.sent_at <= run.at and is_allowed(apply.config, run)
-        for apply in deployment.notes.applies
+        for apply in deployment.records.applies
     )
 
 
@@ -80,12 +80,12 @@
 def config_kept(deployment: client_deployment.Deployment) -> list[str]:
     """Read-back: newest acknowledged or newer, whole, never older."""
     findings = []
-    notes = deployment.notes
-    good = {apply.generation: apply for apply in notes.applies if apply.status == 200}
-    refused = [apply.config for apply in notes.applies if apply.status == 400 and isinstance(apply.config, dict)]
-    unsure = [apply.config for apply in notes.applies if apply.status not in CLEAR]
-    conflicting = [apply.config for apply in notes.applies if apply.status == 409 and apply.config not in unsure]
-    for read in sorted(notes.reads, key=lambda read: read.responded_at):
+    records = deployment.records
+    good = {apply.generation: apply for apply in records.applies if apply.status == 200}
+    refused = [apply.config for apply in records.applies if apply.status == 400 and isinstance(apply.config, dict)]
+    unsure = [apply.config for apply in records.applies if apply.status not in CLEAR]
+    conflicting = [apply.config for apply in records.applies if apply.status == 409 and apply.config not in unsure]
+    for read in sorted(records.reads, key=lambda read: read.responded_at):
         began = seconds(read.sent_at)
         generation = read.generation
         floor = max((number for number, apply in good.items() if apply.responded_at <= read.sent_at), default=0)
@@ -97,10 +97,10 @@
             findings.append(f'read at {began} gave generation {generation}, whose operator was told of a conflict')
         if any(read.config == _filled(config) for config in refused):
             findings.append(f'read at {began} gave a refused configuration')
-    return findings + _slid_back(notes.reads)
+    return findings + _slid_back(records.reads)
 
 
-def _slid_back(reads: list[actor_notes.Read]) -> list[str]:
+def _slid_back(reads: list[actor_records.Read]) -> list[str]:
     """Reads that gave an older generation than a read that had ended before they began."""
     findings = []
     reads = sorted(reads, key=lambda read: read.sent_at)
@@ -120,17 +120,17 @@
 @check('conflicts')
 def conflicts(deployment: client_deployment.Deployment) -> list[str]:
     """Two changes on one base: at most one may win."""
-    bases = collections.Counter(apply.base for apply in deployment.notes.applies if apply.status == 200)
+    bases = collections.Counter(apply.base for apply in deployment.records.applies if apply.status == 200)
     return [f'{count} changes based on {base} were accepted' for base, count in bases.items() if count > 1]
 
 
 def evacuations(
     deployment: client_deployment.Deployment,
-) -> typing.Iterator[tuple[actor_notes.Evacuation, datetime.timedelta | None]]:
+) -> typing.Iterator[tuple[actor_records.Evacuation, datetime.timedelta | None]]:
     """(evacuation, when the cell was asked back or None) for each evacuation."""
-    for evacuation in deployment.notes.evacuations:
+    for evacuation in deployment.records.evacuations:
         if evacuation.is_evacuated:
-            yield evacuation, registry.taken_back_at(evacuation, deployment.notes.evacuations)
+            yield evacuation, registry.taken_back_at(evacuation, deployment.records.evacuations)
 
 
 @check('evacuated-reached')
@@ -138,10 +138,10 @@
     """A request runs in an evacuated cell, or passes a proxy there, after its bound."""
     findings = []
     cells = request_checkers.cells_of_proxies(deployment)
-    passed = {(attempt.id, attempt.number): cells.get(attempt.proxy) for attempt in deployment.notes.attempts}
+    passed = {(attempt.id, attempt.number): cells.get(attempt.proxy) for attempt in deployment.records.attempts}
     for evacuation, until in evacuations(deployment):
         cell = evacuation.cell
-        for arrival in deployment.notes.arrivals:
+        for arrival in deployment.records.arrivals:
             is_there = arrival.cell == cell or passed.get((arrival.id, arrival.attempt)) == cell
             is_late = arrival.at > evacuation.sent_at + EVACUATION_MOST
             if is_there and is_late and (until is None or arrival.at < until):
--- a/zinctrail/simulation/checkers/coordination.py
+++ b/zinctrail/simulation/checkers/coordination.py
@@ -5,7 +5,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.deployment as client_deployment
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.linearizability as linearizability
 
@@ -20,7 +20,7 @@
 def locks(deployment: client_deployment.Deployment) -> list[str]:
     """Two holders believe in a lock at once, or fencing tokens do not rise."""
     findings = []
-    for name, earlier, later in registry.belief_pairs(deployment.notes.locks):
+    for name, earlier, later in registry.belief_pairs(deployment.records.locks):
         is_other = earlier.holder != later.holder
         if is_other and later.since < earlier.until:
             findings.append(registry.overlap(name, earlier, later))
@@ -31,7 +31,7 @@
 
 
 def _unordered(
-    operations: typing.Iterable[actor_notes.Operation], start: typing.Any, model: typing.Callable
+    operations: typing.Iterable[actor_records.Operation], start: typing.Any, model: typing.Callable
 ) -> list[str]:
     """Operations that no order of their key explains."""
     findings = []
@@ -52,18 +52,18 @@
 @check('numbers')
 def numbers(deployment: client_deployment.Deployment) -> list[str]:
     """Every number once, and in the order of time."""
-    return _unordered(deployment.notes.numbers, 0, linearizability.number)
+    return _unordered(deployment.records.numbers, 0, linearizability.number)
 
 
-def _writes(deployment: client_deployment.Deployment) -> list[actor_notes.Operation]:
+def _writes(deployment: client_deployment.Deployment) -> list[actor_records.Operation]:
     """The writes of keys that took effect."""
-    return [operation for operation in deployment.notes.keys if operation.kind != 'get' and operation.result == 'ok']
+    return [operation for operation in deployment.records.keys if operation.kind != 'get' and operation.result == 'ok']
 
 
 @check('keys')
 def keys(deployment: client_deployment.Deployment) -> list[str]:
     """Reads, writes, comparisons and drops of a key have one order; revisions rise."""
-    findings = _unordered(deployment.notes.keys, linearizability.NO_KEY, linearizability.key)
+    findings = _unordered(deployment.records.keys, linearizability.NO_KEY, linearizability.key)
     revisions = collections.Counter(write.revision for write in _writes(deployment))
     return findings + [
         f'revision {revision} was given {count} times' for revision, count in revisions.items() if count > 1
@@ -75,13 +75,13 @@
     """A watch misses a write, its revisions do not rise, or history within 20 s is no longer there."""
     findings = []
     writes = _writes(deployment)
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         mine = [write for write in writes if write.key.startswith(watch.prefix)]
         findings += _lost_history(watch, mine) if watch.is_gone else _missed(watch, mine)
     return findings
 
 
-def _lost_history(watch: actor_notes.Watch, writes: list[actor_notes.Operation]) -> list[str]:
+def _lost_history(watch: actor_records.Watch, writes: list[actor_records.Operation]) -> list[str]:
     """A watch that was refused though nothing it asked for is older than the history must reach."""
     is_old = any(
         write.revision > watch.since and write.responded_at < watch.sent_at - HISTORY_LEAST for write in writes
@@ -91,7 +91,7 @@
     return [f'watch from {watch.since} lost history of {seconds(watch.responded_at - watch.since_at)}']
 
 
-def _missed(watch: actor_notes.Watch, writes: list[actor_notes.Operation]) -> list[str]:
+def _missed(watch: actor_records.Watch, writes: list[actor_records.Operation]) -> list[str]:
     """Revisions of a watch that do not rise, and writes that it did not show."""
     findings = []
     revisions = [event['rev'] for event in watch.events]
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -25,7 +25,7 @@
     _of_configurations(deployment, worst)
     _of_evacuations(deployment, worst)
     _of_losses(deployment, worst)
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         if not watch.is_gone and watch.since_at is not None:
             worst.add('history_ms', durations.to_ms(watch.responded_at - watch.since_at))
     return dict(worst)
@@ -33,10 +33,10 @@
 
 def _of_endpoints(deployment: client_deployment.Deployment, worst: Worst) -> None:
     """How long after its end an endpoint was reached, and how far a cold one was overrun."""
-    notes = deployment.notes
+    records = deployment.records
     drained = request_checkers.drained_at(deployment)
-    for arrival in notes.arrivals:
-        for name, times in (('drained_ms', drained), ('gone_ms', notes.gone)):
+    for arrival in records.arrivals:
+        for name, times in (('drained_ms', drained), ('gone_ms', records.gone)):
             at = times.get(arrival.meant_for)
             if at is not None and arrival.at > at:
                 worst.add(name, durations.to_ms(arrival.at - at))
@@ -54,7 +54,7 @@
         later = [apply for apply in good if apply.generation > new.generation]
         late = [
             run.at - new.responded_at
-            for run in deployment.notes.arrivals
+            for run in deployment.records.arrivals
             if new.responded_at < run.at < new.responded_at + ms(5000)
             and not configuration_checkers.is_allowed(new.config, run)
             and configuration_checkers.is_allowed(old.config, run)
@@ -70,7 +70,7 @@
     for evacuation, until in configuration_checkers.evacuations(deployment):
         late = [
             arrival.at - evacuation.sent_at
-            for arrival in deployment.notes.arrivals
+            for arrival in deployment.records.arrivals
             if arrival.cell == evacuation.cell
             and arrival.at > evacuation.sent_at
             and (until is None or arrival.at < until)
@@ -82,6 +82,6 @@
     """How long after a loss each service ran again."""
     for loss in request_checkers.undisturbed_losses(deployment):
         for service in deployment.shape['services']:
-            times = [run.at for run in deployment.notes.runs if run.service == service and run.at > loss.at]
+            times = [run.at for run in deployment.records.runs if run.service == service and run.at > loss.at]
             if times:
                 worst.add('back_ms', durations.to_ms(min(times) - loss.at))
--- a/zinctrail/simulation/checkers/open_configuration.py
+++ b/zinctrail/simulation/checkers/open_configuration.py
@@ -9,7 +9,7 @@
 import zinctrail.simulation.checkers.open_requests as open_requests
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 ms = durations.ms
@@ -21,7 +21,7 @@
 REFUSED = (400, 409, 413, 422)
 
 
-def key_of(change: open_notes.Change) -> str:
+def key_of(change: open_records.Change) -> str:
     """The key of the item that a change is about."""
     return change.key
 
@@ -31,12 +31,12 @@
 
     def __init__(self, deployment: open_deployment.Deployment) -> None:
         # Without the refused ones: nothing of them may be in force, ever.
-        changes = [change for change in deployment.notes.changes if change.status not in REFUSED]
+        changes = [change for change in deployment.records.changes if change.status not in REFUSED]
         self.rows = registry.grouped(changes, key_of)
         for rows in self.rows.values():
             rows.sort(key=lambda change: change.version)
 
-    def possible(self, key: str, at: datetime.timedelta, over: datetime.timedelta | None) -> list[open_notes.Change]:
+    def possible(self, key: str, at: datetime.timedelta, over: datetime.timedelta | None) -> list[open_records.Change]:
         """Changes that may govern a request sent at a time, by `over` as the bound on older ones (None: no bound)."""
         rows = [change for change in self.rows.get(key, ()) if change.sent_at <= at]
         if over is None:
@@ -54,18 +54,18 @@
 
     @staticmethod
     def in_force(
-        rows: typing.Iterable[open_notes.Change], at: datetime.timedelta, over: datetime.timedelta
-    ) -> list[open_notes.Change]:
+        rows: typing.Iterable[open_records.Change], at: datetime.timedelta, over: datetime.timedelta
+    ) -> list[open_records.Change]:
         """Changes whose acknowledgement lies further back than the bound."""
         return [change for change in rows if change.status == 200 and change.responded_at + over < at]
 
 
-def rule_key(attempt: open_notes.Attempt) -> str:
+def rule_key(attempt: open_records.Attempt) -> str:
     """The key of the rule that a request matches."""
     return f'rules/{attempt.request.rule}'
 
 
-def pools_of_all(changes: typing.Iterable[open_notes.Change]) -> set[str]:
+def pools_of_all(changes: typing.Iterable[open_records.Change]) -> set[str]:
     """The pools that any of these contents routes to."""
     return set().union(*(terms.pools_of(change.row) for change in changes))
 
@@ -75,7 +75,7 @@
     """A request runs at a service that no configuration ever sent allows; this rule knows no time."""
     findings = []
     ever = {key: pools_of_all(rows) for key, rows in Versions(deployment).rows.items()}
-    for run in deployment.notes.runs:
+    for run in deployment.records.runs:
         attempt = open_requests.attempt_of(deployment, run)
         if attempt and run.service not in ever.get(rule_key(attempt), ()):
             findings.append(f'{run.id} of {attempt.request.rule} ran at {run.service}, which no configuration allows')
@@ -87,8 +87,8 @@
     """Late: what only an older version allows, once the newer one was acknowledged long enough ago."""
     findings = []
     versions = Versions(deployment)
-    ran = open_requests.by_id(deployment.notes.runs)
-    for attempt in deployment.notes.attempts:
+    ran = open_requests.by_id(deployment.records.runs)
+    for attempt in deployment.records.attempts:
         sent_at = attempt.sent_at
         front = attempt.front
         key = rule_key(attempt)
@@ -118,8 +118,8 @@
     versions = Versions(deployment)
     # (when it ran, the oldest version that allows it) by process and rule.
     seen: dict[tuple[str, int, str], list[tuple[datetime.timedelta, int]]] = collections.defaultdict(list)
-    ran = open_requests.by_id(deployment.notes.runs)
-    for attempt in sorted(deployment.notes.attempts, key=lambda attempt: attempt.sent_at):
+    ran = open_requests.by_id(deployment.records.runs)
+    for attempt in sorted(deployment.records.attempts, key=lambda attempt: attempt.sent_at):
         key = rule_key(attempt)
         rows = versions.rows.get(key, ())
         if len(rows) < 2:
@@ -148,7 +148,7 @@
 def config_refused(deployment: open_deployment.Deployment) -> list[str]:
     """What is invalid is acknowledged; what is valid is refused for good."""
     findings = []
-    for change in deployment.notes.changes:
+    for change in deployment.records.changes:
         is_invalid = change.is_invalid
         status = change.status
         if is_invalid and status == 200:
@@ -158,9 +158,9 @@
     return findings
 
 
-def _is_contested(deployment: open_deployment.Deployment, refused: open_notes.Change) -> bool:
+def _is_contested(deployment: open_deployment.Deployment, refused: open_records.Change) -> bool:
     """Whether a 409 is right: an item of the call has a version under which another content was sent."""
-    changes = deployment.notes.changes
+    changes = deployment.records.changes
     items = [change for change in changes if change.order is refused.order]
     contents = {(change.key, change.version): change.row for change in items}
     return refused.status == 409 and any(
@@ -173,7 +173,7 @@
 def config_one(deployment: open_deployment.Deployment) -> list[str]:
     """Two contents are acknowledged under one version of an item, or a content that was acknowledged is refused."""
     contents: dict[tuple[str, int], list[dict | None]] = collections.defaultdict(list)
-    for change in deployment.notes.changes:
+    for change in deployment.records.changes:
         version = (change.key, change.version)
         if change.status == 200 and change.row not in contents[version]:
             contents[version].append(change.row)
@@ -183,7 +183,7 @@
         if len(rows) > 1
     ]
     statuses = collections.defaultdict(set)
-    for rows in registry.grouped(deployment.notes.changes, lambda change: id(change.order)).values():
+    for rows in registry.grouped(deployment.records.changes, lambda change: id(change.order)).values():
         items = str([(change.key, change.version, change.row) for change in rows])
         statuses[items].add(rows[0].status)
     return findings + [f'{items}: acknowledged and refused' for items, all_ in statuses.items() if {200, 409} <= all_]
@@ -193,11 +193,11 @@
 def config_kept(deployment: open_deployment.Deployment) -> list[str]:
     """Read back: each item as the newest acknowledged version or a newer one that was sent, whole."""
     findings = []
-    notes = deployment.notes
-    changes = registry.grouped(notes.changes, key_of)
-    if notes.reads and notes.reads[-1].items is None:
+    records = deployment.records
+    changes = registry.grouped(records.changes, key_of)
+    if records.reads and records.reads[-1].items is None:
         findings.append('the last read-back had no answer')
-    for read in notes.reads:
+    for read in records.reads:
         if read.items is None:
             continue
         rows = {f'{part}/{row["name"]}': row for part in ('rules', 'pools') for row in read.items[part]}
@@ -207,7 +207,7 @@
     return findings
 
 
-def _not_kept(key: str, changes: list[open_notes.Change], row: dict | None, read: open_notes.Read) -> list[str]:
+def _not_kept(key: str, changes: list[open_records.Change], row: dict | None, read: open_records.Read) -> list[str]:
     """What is wrong with one item of a read, where something is."""
     acknowledged = [
         change.version for change in changes if change.status == 200 and change.responded_at <= read.sent_at
@@ -230,7 +230,7 @@
 def denied(deployment: open_deployment.Deployment) -> list[str]:
     """Proper requests are refused as if they were wrong, more than a few of them."""
     versions = Versions(deployment)
-    attempts = deployment.notes.attempts
+    attempts = deployment.records.attempts
     wrong = [
         attempt
         for attempt in attempts
@@ -253,19 +253,19 @@
     findings = []
     drains = 0
     late_drains = 0
-    notes = deployment.notes
+    records = deployment.records
     contact = deployment.contact
     contested = {
-        id(change.order) for change in notes.changes if change.status == 409 and _is_contested(deployment, change)
+        id(change.order) for change in records.changes if change.status == 409 and _is_contested(deployment, change)
     }
-    for order in notes.orders:
+    for order in records.orders:
         if order.is_invalid or id(order) in contested:
             continue
         until = order.sent_at + TERMS.ack + ms(3) * order.size
         end = order.responded_at if order.status == 200 else deployment.world.now
         is_settled = open_contact.is_calm(contact.control, order.sent_at - TERMS.contact, until)
         # No stretch counts in which acknowledgements are lost.
-        is_late = end > until and is_settled and open_contact.is_calm(notes.ack_losses, order.sent_at, until)
+        is_late = end > until and is_settled and open_contact.is_calm(records.ack_losses, order.sent_at, until)
         if order.what == 'drain':
             drains = drains + 1
             late_drains = late_drains + is_late
@@ -285,7 +285,7 @@
     findings: dict[str, str] = {}
     seen = set()
     extra = collections.defaultdict(list)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         if arrival.id in seen:
             extra[arrival.service].append(arrival.at)
         seen.add(arrival.id)
@@ -307,7 +307,7 @@
     """When requests were sent that a pool may have been meant for, by the pool."""
     asked = collections.defaultdict(list)
     versions = Versions(deployment)
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         for pool in pools_of_all(versions.possible(rule_key(attempt), attempt.sent_at, None)):
             asked[pool].append(attempt.sent_at)
     return asked
--- a/zinctrail/simulation/checkers/open_contact.py
+++ b/zinctrail/simulation/checkers/open_contact.py
@@ -6,12 +6,12 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.node as simulated_node
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 CONTACT = terms.TERMS.contact
 Time = datetime.timedelta
-Span = open_notes.Span
+Span = open_records.Span
 
 
 def is_calm(spans: list[Span], begins: Time, until: Time) -> bool:
@@ -28,8 +28,8 @@
         self.own: dict[str, list[Span]] = collections.defaultdict(list)
         self.control: list[Span] = []
         self._add_events(deployment.world.process_events)
-        self._add_cuts(deployment.notes.cuts)
-        self.control += deployment.notes.lossy
+        self._add_cuts(deployment.records.cuts)
+        self.control += deployment.records.lossy
 
     def _add(self, name: str, span: Span, control_span: Span | None = None) -> None:
         """Note a disturbance of a machine; one of a control node also disturbs control."""
@@ -49,7 +49,7 @@
             # The moment only: control nodes with a majority left settle again without one of them.
             self._add(name, Span(since, None), control_span=Span(since, since))
 
-    def _add_cuts(self, cuts: list[open_notes.Cut]) -> None:
+    def _add_cuts(self, cuts: list[open_records.Cut]) -> None:
         """Note cuts between two control nodes, and between one and another machine."""
         for cut in cuts:
             one = cut.one
--- a/zinctrail/simulation/checkers/open_coordination.py
+++ b/zinctrail/simulation/checkers/open_coordination.py
@@ -6,10 +6,10 @@
 
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
-Row = typing.TypeVar('Row', open_notes.Number, open_notes.Put)
+Row = typing.TypeVar('Row', open_records.Number, open_records.Put)
 check = registry.OPEN.check
 seconds = registry.seconds
 
@@ -18,7 +18,7 @@
 def one(deployment: open_deployment.Deployment) -> list[str]:
     """Two holders believe in a lock at once, or fencing tokens do not rise."""
     findings = []
-    for name, earlier, later in registry.belief_pairs(deployment.notes.locks):
+    for name, earlier, later in registry.belief_pairs(deployment.records.locks):
         if earlier.holder == later.holder:
             continue
         if later.since < earlier.until:
@@ -51,15 +51,15 @@
     return name[: name.index('.') + 1]
 
 
-def acknowledged_puts(deployment: open_deployment.Deployment) -> list[open_notes.Put]:
+def acknowledged_puts(deployment: open_deployment.Deployment) -> list[open_records.Put]:
     """The puts that were answered with success."""
-    return [put for put in deployment.notes.puts if put.status == 200]
+    return [put for put in deployment.records.puts if put.status == 200]
 
 
 @check('order')
 def order(deployment: open_deployment.Deployment) -> list[str]:
     """Numbers and revisions rise, puts are over what they named, and watches skip nothing."""
-    findings = not_rising(deployment.notes.numbers, lambda row: row.value, 'number')
+    findings = not_rising(deployment.records.numbers, lambda row: row.value, 'number')
     puts = acknowledged_puts(deployment)
     by_group = registry.grouped(puts, lambda put: group_of(put.name))
     for group in sorted(by_group):
@@ -69,13 +69,13 @@
             between = [other.revision for other in of_name if put.expected_revision < other.revision < put.revision]
             if between:
                 findings.append(f'{name}: put over {put.expected_revision} got {put.revision}, past {between}')
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         if watch.status == 200:
             findings += _watch_findings(watch, by_group.get(watch.group, ()))
     return findings
 
 
-def _watch_findings(watch: open_notes.Watch, puts: typing.Iterable[open_notes.Put]) -> list[str]:
+def _watch_findings(watch: open_records.Watch, puts: typing.Iterable[open_records.Put]) -> list[str]:
     """Revisions of a watch that do not rise, and puts that it skipped."""
     findings = []
     revisions = [event['rev'] for event in watch.events]
@@ -95,7 +95,7 @@
     """A read shows an older revision than was acknowledged before it was sent."""
     findings = []
     by_name = registry.grouped(acknowledged_puts(deployment), lambda put: put.name)
-    for get in deployment.notes.gets:
+    for get in deployment.records.gets:
         earlier = [put.revision for put in by_name.get(get.name, ()) if put.responded_at <= get.sent_at]
         floor = max(earlier, default=0)
         if get.revision < floor:
@@ -107,10 +107,10 @@
 
 def shown(deployment: open_deployment.Deployment) -> typing.Iterator[tuple[str, str, int, datetime.timedelta]]:
     """(name, value, revision, when) of all that reads and watches showed."""
-    for get in deployment.notes.gets:
+    for get in deployment.records.gets:
         if get.value is not None:
             yield get.name, get.value, get.revision, get.responded_at
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         for event in watch.events:
             yield event['name'], event['value'], event['rev'], watch.responded_at
 
@@ -119,7 +119,7 @@
 def value(deployment: open_deployment.Deployment) -> list[str]:
     """A value nobody put, under two revisions, or whose put was refused; a refusal names a revision never given."""
     findings = []
-    puts = {put.value: put for put in deployment.notes.puts}
+    puts = {put.value: put for put in deployment.records.puts}
     revisions = collections.defaultdict(set)
     known = collections.defaultdict(set)
     for put in acknowledged_puts(deployment):
@@ -139,8 +139,8 @@
         if len(of_value) > 1
     ]
     # Names with a put of unknown result, which may have been given any revision.
-    unsure = {put.name for put in deployment.notes.puts if put.status not in (200, 409)}
-    for put in deployment.notes.puts:
+    unsure = {put.name for put in deployment.records.puts if put.status not in (200, 409)}
+    for put in deployment.records.puts:
         is_unknown = put.named_revision and put.named_revision not in known[put.name]
         if put.status == 409 and is_unknown and put.name not in unsure:
             findings.append(f'{put.name}: told of revision {put.named_revision}, which no put was given')
@@ -153,7 +153,7 @@
     return [
         f'watch of {watch.group} from {watch.since} got 410,'
         f' {seconds(watch.sent_at - watch.given_at)} after it was given'
-        for watch in deployment.notes.watches
+        for watch in deployment.records.watches
         if watch.status == 410
         and watch.given_at is not None
         and watch.responded_at - watch.given_at < terms.TERMS.history
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -6,7 +6,7 @@
 import zinctrail.simulation.checkers.figures as day_figures
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 
 
 class Worst(day_figures.Worst):
@@ -20,29 +20,29 @@
 def figures(deployment: open_deployment.Deployment) -> dict[str, float]:
     """In ms or as a ratio; what did not occur is left out."""
     worst = Worst()
-    notes = deployment.notes
+    records = deployment.records
     drained: dict[str, datetime.timedelta] = {}
-    for change in notes.states:
+    for change in records.states:
         drained.setdefault(change.incarnation, change.acknowledged_at)
-    for arrival in notes.arrivals:
+    for arrival in records.arrivals:
         at = drained.get(arrival.incarnation)
         if at is not None and not arrival.is_misdirected and arrival.at > at:
             worst.add('drained_ms', durations.to_ms(arrival.at - at))
-    for evacuation in notes.evacuations:
+    for evacuation in records.evacuations:
         if evacuation.is_evacuated and evacuation.acknowledged_at:
             _add_evacuation(deployment, evacuation, worst)
-    for order in notes.orders:
+    for order in records.orders:
         if order.status == 200:
             worst.add('ack_ms', durations.to_ms(order.responded_at - order.sent_at))
-    good = sum(attempt.is_success() for attempt in notes.attempts)
-    worst.add('failed_share', 1 - good / max(1, len(notes.attempts)))
+    good = sum(attempt.is_success() for attempt in records.attempts)
+    worst.add('failed_share', 1 - good / max(1, len(records.attempts)))
     return dict(worst)
 
 
-def _add_evacuation(deployment: open_deployment.Deployment, evacuation: open_notes.Evacuation, worst: Worst) -> None:
+def _add_evacuation(deployment: open_deployment.Deployment, evacuation: open_records.Evacuation, worst: Worst) -> None:
     """How long after its acknowledgement an evacuated zone was reached."""
-    until = registry.taken_back_at(evacuation, deployment.notes.evacuations) or deployment.world.now
-    for arrival in deployment.notes.arrivals:
+    until = registry.taken_back_at(evacuation, deployment.records.evacuations) or deployment.world.now
+    for arrival in deployment.records.arrivals:
         is_there = arrival.cell == evacuation.cell and not arrival.is_misdirected
         if is_there and evacuation.acknowledged_at < arrival.at < until:
             worst.add('evacuated_ms', durations.to_ms(arrival.at - evacuation.acknowledged_at))
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -9,17 +9,17 @@
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.node as simulated_node
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
-Row = typing.TypeVar('Row', open_notes.Arrival, open_notes.Attempt)
+Row = typing.TypeVar('Row', open_records.Arrival, open_records.Attempt)
 ms = durations.ms
 check = registry.OPEN.check
 seconds = registry.seconds
 TERMS = terms.TERMS
 
 
-def attempt_of(deployment: open_deployment.Deployment, arrival: open_notes.Arrival) -> open_notes.Attempt | None:
+def attempt_of(deployment: open_deployment.Deployment, arrival: open_records.Arrival) -> open_records.Attempt | None:
     """The attempt of an arrival, where a client sent it."""
     return deployment.by_id.get(arrival.id)
 
@@ -34,7 +34,7 @@
     """A request that may run once runs twice."""
     return [
         f'{request_id} ran {len(runs)} times'
-        for request_id, runs in by_id(deployment.notes.runs).items()
+        for request_id, runs in by_id(deployment.records.runs).items()
         if len(runs) > 1 and request_id in deployment.by_id and deployment.by_id[request_id].request.runs_once
     ]
 
@@ -42,10 +42,10 @@
 @check('refused')
 def refused(deployment: open_deployment.Deployment) -> list[str]:
     """A status promises that a request has not run, and it has."""
-    ran = by_id(deployment.notes.runs)
+    ran = by_id(deployment.records.runs)
     return [
         f'{attempt.id} told {attempt.status} at {seconds(attempt.responded_at)}, ran at {seconds(ran[attempt.id][0].at)}'
-        for attempt in deployment.notes.attempts
+        for attempt in deployment.records.attempts
         if attempt.request.runs_once and attempt.is_answered() and attempt.status in terms.PROMISE and attempt.id in ran
     ]
 
@@ -54,12 +54,12 @@
 def mixed(deployment: open_deployment.Deployment) -> list[str]:
     """An answer to another request, or a success that no endpoint gave."""
     findings = []
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         if not attempt.is_answered():
             continue
         request_id = attempt.id
         headers = attempt.headers
-        given = deployment.notes.given_answers.get(request_id, ())
+        given = deployment.records.given_answers.get(request_id, ())
         named = headers.get('zt-id')
         if named is not None and named != request_id:
             findings.append(f'{request_id}: got the answer to {named}')
@@ -75,7 +75,7 @@
 def unasked(deployment: open_deployment.Deployment) -> list[str]:
     """Something runs that nobody sent, or otherwise than it was sent."""
     findings = []
-    for run in deployment.notes.runs:
+    for run in deployment.records.runs:
         attempt = attempt_of(deployment, run)
         if attempt is None:
             findings.append(f'ran {run.id}, which no client sent')
@@ -84,7 +84,7 @@
     return findings
 
 
-def _differs(run: open_notes.Arrival, request: open_notes.Request) -> bool:
+def _differs(run: open_records.Arrival, request: open_records.Request) -> bool:
     """Whether an endpoint ran something else than its client sent."""
     return (run.method, run.path, run.body) != (request.method, request.path, request.body)
 
@@ -97,10 +97,10 @@
     """A drained endpoint is reached after its bound."""
     findings = []
     told: dict[str, datetime.timedelta] = {}
-    for change in deployment.notes.states:
+    for change in deployment.records.states:
         if deployment.contact.is_bound(change.node, change.acknowledged_at):
             told.setdefault(change.incarnation, change.acknowledged_at)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         at = told.get(arrival.incarnation)
         attempt = attempt_of(deployment, arrival)
         if at is None or arrival.is_misdirected or attempt is None or arrival.at <= at + TERMS.drain:
@@ -128,8 +128,8 @@
     findings = []
     stops = _times_of(deployment.world.process_events, ('stop',))
     kills = _times_of(deployment.world.process_events, ('kill', 'pause', 'reset'))
-    ran = by_id(deployment.notes.runs)
-    for attempt in deployment.notes.attempts:
+    ran = by_id(deployment.records.runs)
+    for attempt in deployment.records.attempts:
         if attempt.responded_at is None or not attempt.was_sent:
             continue
         for stopped_at in stops[attempt.front]:
@@ -152,20 +152,20 @@
 
 
 def _is_disturbed(
-    deployment: open_deployment.Deployment, attempt: open_notes.Attempt, kills: list[datetime.timedelta]
+    deployment: open_deployment.Deployment, attempt: open_records.Attempt, kills: list[datetime.timedelta]
 ) -> bool:
     """Whether the front was killed, stood still or was cut off around the attempt."""
     since = attempt.sent_at - TERMS.contact
     until = attempt.responded_at
     return any(since <= at <= until for at in kills) or any(
         cut.begins_at <= until and (cut.ends_at is None or cut.ends_at >= since)
-        for cut in deployment.notes.cuts
+        for cut in deployment.records.cuts
         if attempt.front in (cut.one, cut.other)
     )
 
 
 def _ended_while_at_work(
-    deployment: open_deployment.Deployment, attempt: open_notes.Attempt, ran: dict[str, list[open_notes.Arrival]]
+    deployment: open_deployment.Deployment, attempt: open_records.Attempt, ran: dict[str, list[open_records.Arrival]]
 ) -> bool:
     """Whether the front gave up a request in time that an endpoint was still at work on."""
     request_id = attempt.id
@@ -174,23 +174,23 @@
     )
     if not is_own_error or attempt.responded_at >= attempt.request.until - ms(50):
         return False
-    if request_id not in ran or request_id in deployment.notes.broke:
+    if request_id not in ran or request_id in deployment.records.broke:
         return False
-    done = [given.at for given in deployment.notes.given_answers.get(request_id, ())]
+    done = [given.at for given in deployment.records.given_answers.get(request_id, ())]
     return not done or max(done) > attempt.responded_at
 
 
 @check('held')
 def held(deployment: open_deployment.Deployment) -> list[str]:
     """A request that was given up is not answered at once: nobody is left without an answer, offered to no endpoint."""
-    offered = by_id(deployment.notes.arrivals)
+    offered = by_id(deployment.records.arrivals)
     return [
         f'{attempt.id} of {attempt.request.rule} had no answer from {attempt.front} by {seconds(attempt.responded_at)}'
-        for attempt in deployment.notes.attempts
+        for attempt in deployment.records.attempts
         if attempt.fault == 'late'
         and attempt.left_at is None
         and attempt.id not in offered
-        and attempt.id not in deployment.notes.swallowed
+        and attempt.id not in deployment.records.swallowed
         and deployment.contact.is_bound(attempt.front, attempt.responded_at, attempt.sent_at)
         and attempt.responded_at - attempt.sent_at > ms(300)
     ]
@@ -202,25 +202,25 @@
 @check('gone')
 def gone(deployment: open_deployment.Deployment) -> list[str]:
     """Work for clients that have left: requests that may be repeated and run on, or that reach an endpoint later."""
-    left = {attempt.id: attempt for attempt in deployment.notes.attempts if _binds_after_leaving(deployment, attempt)}
+    left = {attempt.id: attempt for attempt in deployment.records.attempts if _binds_after_leaving(deployment, attempt)}
     findings = [
         f'{work.id} was at work at {work.incarnation} until {seconds(work.ended_at or work.until)},'
         f' its client left {left[work.id].front} at {seconds(left[work.id].left_at)}'
-        for work in deployment.notes.work
+        for work in deployment.records.work
         if work.id in left
         and min(work.until, work.ended_at or work.until) > left[work.id].left_at + TERMS.left
-        and work.id not in deployment.notes.swallowed
+        and work.id not in deployment.records.swallowed
     ]
     findings += [
         f'{arrival.id} reached {arrival.incarnation} at {seconds(arrival.at)},'
         f' its client left {left[arrival.id].front} at {seconds(left[arrival.id].left_at)}'
-        for arrival in deployment.notes.arrivals
+        for arrival in deployment.records.arrivals
         if arrival.id in left and arrival.at > left[arrival.id].left_at + TERMS.left
     ]
     return findings
 
 
-def _binds_after_leaving(deployment: open_deployment.Deployment, attempt: open_notes.Attempt) -> bool:
+def _binds_after_leaving(deployment: open_deployment.Deployment, attempt: open_records.Attempt) -> bool:
     """Whether a client left an attempt that may be repeated, at a front in contact."""
     return (
         attempt.left_at is not None
@@ -236,9 +236,9 @@
 def failback(deployment: open_deployment.Deployment) -> list[str]:
     """A cold endpoint gets more requests in a second than it bears; the first finding of each is told."""
     findings: dict[str, str] = {}
-    spans = registry.grouped(deployment.notes.cold_spans, lambda span: span.incarnation)
+    spans = registry.grouped(deployment.records.cold_spans, lambda span: span.incarnation)
     by_incarnation = collections.defaultdict(list)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         attempt = attempt_of(deployment, arrival)
         is_cold = any(span.begins_at <= arrival.at < span.ends_at for span in spans.get(arrival.incarnation, ()))
         if not arrival.is_misdirected and attempt and is_cold:
@@ -258,7 +258,7 @@
 def home(deployment: open_deployment.Deployment) -> list[str]:
     """A request with home regions reaches an endpoint outside them."""
     findings = []
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         attempt = attempt_of(deployment, arrival)
         if attempt and attempt.request.home and arrival.cell.split('/')[0] not in attempt.request.home:
             findings.append(f'{arrival.id} of {attempt.request.home} reached {arrival.cell}')
@@ -273,7 +273,7 @@
     """
     regions = _calm_regions(deployment)
     findings = []
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         if not attempt.request.home or attempt.front not in deployment.world.cells:
             continue
         own_region = _client_region(deployment, attempt)
@@ -286,32 +286,32 @@
     return findings
 
 
-def _client_region(deployment: open_deployment.Deployment, attempt: open_notes.Attempt) -> str:
+def _client_region(deployment: open_deployment.Deployment, attempt: open_records.Attempt) -> str:
     """The region of the client that sent an attempt."""
     return deployment.region_of(attempt.request.number.split('/')[0])
 
 
 def _calm_regions(deployment: open_deployment.Deployment) -> 'CalmRegions':
     """When there was unplanned trouble, or an evacuation, in each region."""
-    troubles: dict[str, list[open_notes.Span]] = collections.defaultdict(list)
+    troubles: dict[str, list[open_records.Span]] = collections.defaultdict(list)
     for event in deployment.world.process_events:
         if event.what in ('kill', 'pause', 'reset'):
-            troubles[deployment.region_of(event.name)].append(open_notes.Span(event.at, event.until))
-    for cut in deployment.notes.cuts:
+            troubles[deployment.region_of(event.name)].append(open_records.Span(event.at, event.until))
+    for cut in deployment.records.cuts:
         for name in (cut.one, cut.other):
             if name in deployment.world.cells:
-                troubles[deployment.region_of(name)].append(open_notes.Span(cut.begins_at, cut.ends_at))
-    for evacuation in deployment.notes.evacuations:
-        until = registry.taken_back_at(evacuation, deployment.notes.evacuations)
+                troubles[deployment.region_of(name)].append(open_records.Span(cut.begins_at, cut.ends_at))
+    for evacuation in deployment.records.evacuations:
+        until = registry.taken_back_at(evacuation, deployment.records.evacuations)
         if evacuation.is_evacuated:
-            troubles[evacuation.cell.split('/')[0]].append(open_notes.Span(evacuation.sent_at, until))
+            troubles[evacuation.cell.split('/')[0]].append(open_records.Span(evacuation.sent_at, until))
     return CalmRegions(troubles)
 
 
 class CalmRegions(typing.NamedTuple):
     """The spans of trouble of each region."""
 
-    troubles: dict[str, list[open_notes.Span]]
+    troubles: dict[str, list[open_records.Span]]
 
     def is_calm(self, region: str, at: datetime.timedelta) -> bool:
         """Whether a region has had no trouble for long enough."""
@@ -322,11 +322,11 @@
 def evac(deployment: open_deployment.Deployment) -> list[str]:
     """An endpoint of an evacuated cell is reached after its bound."""
     findings = []
-    for evacuation in deployment.notes.evacuations:
+    for evacuation in deployment.records.evacuations:
         if not evacuation.is_evacuated or evacuation.acknowledged_at is None:
             continue
-        until = registry.taken_back_at(evacuation, deployment.notes.evacuations)
-        for arrival in deployment.notes.arrivals:
+        until = registry.taken_back_at(evacuation, deployment.records.evacuations)
+        for arrival in deployment.records.arrivals:
             attempt = attempt_of(deployment, arrival)
             if attempt is None or arrival.is_misdirected or arrival.cell != evacuation.cell:
                 continue
@@ -345,8 +345,8 @@
 def recover(deployment: open_deployment.Deployment) -> list[str]:
     """Too few requests are served once the bound after a closing fault has passed."""
     findings = []
-    attempts = deployment.notes.attempts
-    for closing in deployment.notes.closings:
+    attempts = deployment.records.attempts
+    for closing in deployment.records.closings:
         before = [attempt for attempt in attempts if attempt.sent_at < closing.struck_at]
         after = [attempt for attempt in attempts if attempt.sent_at > closing.back_at + TERMS.recovery]
         if len(after) < 20 or sum(attempt.is_success() for attempt in before) < len(before) / 4:
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -7,7 +7,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.deployment as client_deployment
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checkers.registry as registry
 
 ms = durations.ms
@@ -25,7 +25,7 @@
 def run_twice(deployment: client_deployment.Deployment) -> list[str]:
     """A request that may run once runs twice."""
     once = deployment.shape['once']
-    runs = collections.Counter(run.id for run in deployment.notes.runs if run.service in once)
+    runs = collections.Counter(run.id for run in deployment.records.runs if run.service in once)
     return [f'{request_id} ran {count} times' for request_id, count in runs.items() if count > 1]
 
 
@@ -34,9 +34,9 @@
     """A caller is told that its request has not run, and it has."""
     findings = []
     ran = collections.defaultdict(set)
-    for run in deployment.notes.runs:
+    for run in deployment.records.runs:
         ran[run.id].add(run.attempt)
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         # Attempts up to this one: a later attempt is a new request, whose run breaks no promise.
         has_run = any(number <= attempt.number for number in ran[attempt.id])
         if attempt.outcome == 'not-run' and attempt.is_whole and has_run:
@@ -44,7 +44,7 @@
                 f'{attempt.id} attempt {attempt.number} told not-run at {seconds(attempt.responded_at)},'
                 f' ran as {sorted(ran[attempt.id])}'
             )
-    for reply in deployment.notes.replies:
+    for reply in deployment.records.replies:
         if reply.outcome == 'not-run' and any(number <= reply.attempts for number in ran[reply.id]):
             findings.append(f'{reply.id} ended as not-run, ran as {sorted(ran[reply.id])}')
     return findings
@@ -54,9 +54,9 @@
 def wrong_outcome(deployment: client_deployment.Deployment) -> list[str]:
     """Whatever is said to have run is whole and of this request, of any status, for callers without a seal too."""
     findings = []
-    notes = deployment.notes
-    runs = {(run.id, run.incarnation) for run in notes.runs}
-    for row in notes.attempts + notes.replies:
+    records = deployment.records
+    runs = {(run.id, run.incarnation) for run in records.runs}
+    for row in records.attempts + records.replies:
         # Without the statuses that the system gives itself: 409 is an endpoint's word that the id ran there before.
         if row.outcome != 'ran' or row.status == 409:
             continue
@@ -74,7 +74,7 @@
 def drained_at(deployment: client_deployment.Deployment) -> dict[str, datetime.timedelta]:
     """When each incarnation's drain or leave was first acknowledged."""
     times: dict[str, datetime.timedelta] = {}
-    for change in deployment.notes.states:
+    for change in deployment.records.states:
         times.setdefault(change.incarnation, change.acknowledged_at)
     return times
 
@@ -88,7 +88,7 @@
 @check('gone-reached')
 def gone_reached(deployment: client_deployment.Deployment) -> list[str]:
     """From when the status page or a 410 says that an incarnation is gone; it may well live on."""
-    return reached_since(deployment, deployment.notes.gone, 'it was declared gone')
+    return reached_since(deployment, deployment.records.gone, 'it was declared gone')
 
 
 def reached_since(
@@ -97,7 +97,7 @@
     """Arrivals for an incarnation longer than the bound after its time."""
     return [
         f'{arrival.id} reached {arrival.meant_for} {seconds(arrival.at - times[arrival.meant_for])} after {event}'
-        for arrival in deployment.notes.arrivals
+        for arrival in deployment.records.arrivals
         if arrival.meant_for in times and arrival.at > times[arrival.meant_for] + REACHED_MOST
     ]
 
@@ -107,7 +107,7 @@
     """A request reaches a newcomer at the address of the endpoint that it was sent to."""
     return [
         f'{arrival.id} meant for {arrival.meant_for} reached the newcomer {arrival.incarnation} at {arrival.address}'
-        for arrival in deployment.notes.arrivals
+        for arrival in deployment.records.arrivals
         if arrival.is_stranger
     ]
 
@@ -117,7 +117,7 @@
     """A cold endpoint gets more than its bound; one request more can't be told from rounding at small sizes."""
     return [
         f'{arrival.incarnation} ran {arrival.running} at once, bears {arrival.capacity:.2f}'
-        for arrival in deployment.notes.arrivals
+        for arrival in deployment.records.arrivals
         if arrival.running > max(1, COLD_RATIO_MOST * arrival.capacity)
     ]
 
@@ -139,7 +139,7 @@
     """A RepeatWindow for each arrival."""
     seen = set()
     by_service = collections.defaultdict(list)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         by_service[arrival.service].append((arrival.at, arrival.attempt > 1 or arrival.id in seen))
         seen.add(arrival.id)
     for service, rows in by_service.items():
@@ -181,11 +181,11 @@
     """A request with home regions runs, passes or is answered outside them."""
     findings = []
     cells = cells_of_proxies(deployment)
-    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.notes.runs}
-    for arrival in deployment.notes.arrivals:
+    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.records.runs}
+    for arrival in deployment.records.arrivals:
         if arrival.home and region_of(arrival.cell) not in arrival.home:
             findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.cell}')
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         if not attempt.home or attempt.outcome != 'ran':
             continue
         if region_of(cells[attempt.proxy]) not in attempt.home:
@@ -202,13 +202,13 @@
 SERVICE_BACK_MOST = ms(15000)
 
 
-def undisturbed_losses(deployment: client_deployment.Deployment) -> list[actor_notes.Loss]:
+def undisturbed_losses(deployment: client_deployment.Deployment) -> list[actor_records.Loss]:
     """Losses after which no new fault began until service must be back."""
-    notes = deployment.notes
+    records = deployment.records
     return [
         loss
-        for loss in notes.losses
-        if not any(loss.at <= begin < loss.at + SERVICE_BACK_MOST for begin in notes.begins)
+        for loss in records.losses
+        if not any(loss.at <= begin < loss.at + SERVICE_BACK_MOST for begin in records.begins)
     ]
 
 
@@ -216,20 +216,20 @@
 def service_back(deployment: client_deployment.Deployment) -> list[str]:
     """Every service, and most requests, run within 15 s of when all that may come back has come back."""
     findings = []
-    notes = deployment.notes
-    last = max((reply.sent_at for reply in notes.replies), default=ms(0))
+    records = deployment.records
+    last = max((reply.sent_at for reply in records.replies), default=ms(0))
     for loss in undisturbed_losses(deployment):
         # Where nobody asked for the whole time, silence proves nothing.
         if last < loss.at + ms(14000):
             continue
         for service in sorted(deployment.shape['services']):
             if not any(
-                run.service == service and loss.at < run.at <= loss.at + SERVICE_BACK_MOST for run in notes.runs
+                run.service == service and loss.at < run.at <= loss.at + SERVICE_BACK_MOST for run in records.runs
             ):
                 findings.append(f'no request to {service} ran within 15 s of {loss.fault} at {seconds(loss.at)}')
         late = [
             reply.outcome == 'ran'
-            for reply in notes.replies
+            for reply in records.replies
             if loss.at + ms(10000) < reply.sent_at <= loss.at + ms(14000)
         ]
         if len(late) >= 20 and sum(late) < 0.8 * len(late):
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -17,7 +17,7 @@
 import zinctrail.simulation.actors.caller as caller_actor
 import zinctrail.simulation.actors.deployment as client_deployment
 import zinctrail.simulation.actors.endpoint as endpoint_actor
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checks as checks
 import zinctrail.simulation.command as command
 import zinctrail.simulation.faults.disks
@@ -94,17 +94,17 @@
     def run(self) -> typing.Self:
         """Play the day; returns itself."""
         world = self.world
-        notes = self.deployment.notes
+        records = self.deployment.records
         self.start_load()
         world.run(ms(4000))
         time_each = self.length / max(1, len(self.names))
         for name in self.names:
             began = world.now
-            notes.begins.append(world.now)
+            records.begins.append(world.now)
             self.note(f'fault {name}')
             self.strike(name)
             # From here on everything that may come back is back.
-            notes.losses.append(actor_notes.Loss(world.now, name))
+            records.losses.append(actor_records.Loss(world.now, name))
             world.run(max(ms(0), began + time_each - world.now))
         if not self.names:
             world.run(self.length)
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -12,8 +12,8 @@
 import zinctrail.simulation.faults.open_processes as open_processes
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.node as simulated_node
-import zinctrail.simulation.open_actors.notes as open_notes
 import zinctrail.simulation.open_actors.operator as open_operator
+import zinctrail.simulation.open_actors.records as open_records
 
 if typing.TYPE_CHECKING:
     import zinctrail.simulation.open_days as open_days
@@ -299,7 +299,7 @@
     """Most acknowledgements to operators are lost, and each order is sent again until one arrives."""
     for who in OPERATORS:
         scenario.world.reply_loss[who] = 0.7
-    scenario.deployment.notes.ack_losses.append(open_notes.Span(scenario.world.now, scenario.world.now + ms(8000)))
+    scenario.deployment.records.ack_losses.append(open_records.Span(scenario.world.now, scenario.world.now + ms(8000)))
     scenario.later(ms(8000), forget_losses, scenario)
     for number in range(5):
         scenario.later(ms(1200) * number, open_operators.change_timeout, scenario)
--- a/zinctrail/simulation/faults/open_operators.py
+++ b/zinctrail/simulation/faults/open_operators.py
@@ -189,7 +189,7 @@
     body = None
     if kind == 'cut_short':
         body = json.dumps({'set': sets}).encode()[: -scenario.rng.randrange(2, 40)]
-    changes = scenario.deployment.notes.changes
+    changes = scenario.deployment.records.changes
     before = len(changes)
     scenario.deployment.operator.change(sets, length=ms(5000), body=body)
     for change in changes[before:]:
--- a/zinctrail/simulation/faults/open_processes.py
+++ b/zinctrail/simulation/faults/open_processes.py
@@ -12,7 +12,7 @@
 import zinctrail.simulation.faults.processes  # noqa: F401 (registers its faults)
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.node as simulated_node
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -274,7 +274,7 @@
 @fault
 def lossy(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Frames are lost, duplicated and delayed."""
-    scenario.deployment.notes.lossy.append(open_notes.Span(scenario.world.now, scenario.world.now + ms(6000)))
+    scenario.deployment.records.lossy.append(open_records.Span(scenario.world.now, scenario.world.now + ms(6000)))
     return network_faults.lossy(scenario)
 
 
--- a/zinctrail/simulation/linearizability.py
+++ b/zinctrail/simulation/linearizability.py
@@ -1,6 +1,6 @@
 """Is there one order of operations, each within its own time, that a model allows?
 
-An operation is an actors.notes.Operation: it has sent_at, responded_at and result; responded_at is None where
+An operation is an actors.records.Operation: it has sent_at, responded_at and result; responded_at is None where
 its result is unknown: it may have happened at any time since sent_at, or never.
 A model gives step(state, operation) -> the next state, or None where the
 operation can't have happened there with that result.
@@ -8,7 +8,7 @@
 
 import typing
 
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.observations as observations
 
 # The question is hard in general, and an undecided history must not pass for a good one.
@@ -34,10 +34,10 @@
 
 
 def order(
-    operations: list[actor_notes.Operation],
+    operations: list[actor_records.Operation],
     start: State,
-    step: typing.Callable[[State, actor_notes.Operation], State | None],
-) -> actor_notes.Operation | None:
+    step: typing.Callable[[State, actor_records.Operation], State | None],
+) -> actor_records.Operation | None:
     """The first operation that no order explains, or None if there is an order.
 
     :raises UndecidedError: the search took too many steps.
@@ -82,7 +82,7 @@
 
 
 def next_possible(
-    operations: list[actor_notes.Operation], ends: list[observations.Time | None], done: int, low: int
+    operations: list[actor_records.Operation], ends: list[observations.Time | None], done: int, low: int
 ) -> list[int]:
     """The operations that may come next: what began after an operation ended comes after it."""
     earliest_end = None
@@ -99,7 +99,7 @@
     return [position for position in found if earliest_end is None or operations[position].sent_at <= earliest_end]
 
 
-def key(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def key(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """A key with revisions."""
     if operation.kind == 'get':
         return _key_read(state, operation)
@@ -119,7 +119,7 @@
     return KeyState(new_value, 0 if is_drop else operation.revision, operation.revision)
 
 
-def _key_read(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def _key_read(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """A read shows the value and its revision."""
     value, revision, highest = state
     if operation.value != value or (revision is not None and operation.revision != revision):
@@ -127,7 +127,7 @@
     return KeyState(value, operation.revision, max(highest, operation.revision))
 
 
-def _key_refused(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def _key_refused(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """Either of another revision than expected, or nothing there to drop; the revision there is told."""
     value, revision, highest = state
     current = operation.revision or 0
@@ -139,7 +139,7 @@
     return KeyState(value, current, max(highest, current))
 
 
-def number(state: int, operation: actor_notes.Operation) -> int | None:
+def number(state: int, operation: actor_records.Operation) -> int | None:
     """A number that goes up by one."""
     if operation.result == 'ok' and operation.value != state + 1:
         return None
--- a/zinctrail/simulation/open_actors/application.py
+++ b/zinctrail/simulation/open_actors/application.py
@@ -7,7 +7,7 @@
 import twisted.internet.defer as defer
 
 import zinctrail.runtime.durations as durations
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -86,7 +86,7 @@
             response = yield self.call('/v1/lock/hold', body)
             until = response.sent_at + ms(lease_ms)
             if response.status == 200 and self.world.now < until:
-                belief = open_notes.LockBelief(
+                belief = open_records.LockBelief(
                     name=name,
                     holder=self.name,
                     fencing_token=response.document['fence'],
@@ -94,13 +94,13 @@
                     until=until,
                     sent_at=response.sent_at,
                 )
-                self.deployment.notes.locks.append(belief)
+                self.deployment.records.locks.append(belief)
                 yield self.renew(belief, lease_ms)
                 yield self.release_or_abandon(belief, lease_ms)
             yield self.pause()
 
     @defer.inlineCallbacks
-    def renew(self, belief: open_notes.LockBelief, lease_ms: int) -> typing.Generator[typing.Any, typing.Any, None]:
+    def renew(self, belief: open_records.LockBelief, lease_ms: int) -> typing.Generator[typing.Any, typing.Any, None]:
         """Renew a lock up to three times, for as long as it is held."""
         for _ in range(self.rng.randrange(4)):
             yield self.sleep(min(ms(lease_ms) / 3, ms(800)))
@@ -120,7 +120,7 @@
 
     @defer.inlineCallbacks
     def release_or_abandon(
-        self, belief: open_notes.LockBelief, lease_ms: int
+        self, belief: open_records.LockBelief, lease_ms: int
     ) -> typing.Generator[typing.Any, typing.Any, None]:
         """Release a lock, let its lease expire, or abandon it."""
         draw = self.rng.random()
@@ -135,7 +135,7 @@
         else:
             self.stop_believing(belief)
 
-    def stop_believing(self, belief: open_notes.LockBelief) -> None:
+    def stop_believing(self, belief: open_records.LockBelief) -> None:
         """End the span in which the application believes that it holds the lock."""
         belief.stop(self.world.now)
 
@@ -147,8 +147,8 @@
         while self.on:
             response = yield self.call('/v1/number/step', {'name': 'n'})
             if response.status == 200:
-                number = open_notes.Number(response.sent_at, self.world.now, response.document['number'])
-                self.deployment.notes.numbers.append(number)
+                number = open_records.Number(response.sent_at, self.world.now, response.document['number'])
+                self.deployment.records.numbers.append(number)
             yield self.pause()
 
     def random_cell(self) -> str:
@@ -162,13 +162,13 @@
         while self.on:
             name = self.random_cell()
             self.written += 1
-            put = open_notes.Put(
+            put = open_records.Put(
                 name=name,
                 value=f'{self.name}.{self.written}',
                 expected_revision=known.get(name, 0),
                 sent_at=self.world.now,
             )
-            self.deployment.notes.puts.append(put)
+            self.deployment.records.puts.append(put)
             body = {'name': name, 'value': put.value, 'rev': put.expected_revision}
             response = yield self.call('/v1/cell/put', body)
             put.responded_at = self.world.now
@@ -194,14 +194,14 @@
         """Read a cell and record its value and revision."""
         response = yield self.call('/v1/cell/get', {'name': name})
         if response.status in (200, 404):
-            get = open_notes.Get(
+            get = open_records.Get(
                 name=name,
                 sent_at=response.sent_at,
                 responded_at=self.world.now,
                 value=response.document.get('value'),
                 revision=response.document.get('rev', 0),
             )
-            self.deployment.notes.gets.append(get)
+            self.deployment.records.gets.append(get)
 
     @defer.inlineCallbacks
     def watch_cells(self) -> typing.Generator[typing.Any, typing.Any, None]:
@@ -215,7 +215,7 @@
             sent_at = self.world.now
             body = {'group': group, 'since': after, 'wait_ms': WATCH_WAIT_MS}
             response = yield self.call('/v1/cell/watch', body)
-            watch = open_notes.Watch(
+            watch = open_records.Watch(
                 group=group,
                 since=after,
                 given_at=given_at.get(group),
@@ -225,7 +225,7 @@
                 revision=response.document.get('rev'),
                 events=response.document.get('events', []),
             )
-            self.deployment.notes.watches.append(watch)
+            self.deployment.records.watches.append(watch)
             if response.status == 200:
                 since[group] = response.document['rev']
                 given_at[group] = self.world.now
--- a/zinctrail/simulation/open_actors/client.py
+++ b/zinctrail/simulation/open_actors/client.py
@@ -8,7 +8,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -111,7 +111,7 @@
         if rule is None:
             return
         self.sent += 1
-        request = open_notes.Request(
+        request = open_records.Request(
             number=f'{self.name}/{self.sent}',
             rule=rule['name'],
             runs_once=rule['once'],
@@ -125,7 +125,7 @@
         )
         self.attempt(request, MAX_RETRIES)
 
-    def attempt(self, request: open_notes.Request, retries: int) -> None:
+    def attempt(self, request: open_records.Request, retries: int) -> None:
         """Send one attempt of a request to an ingress; a failure is retried as the protocol's rules allow."""
         world = self.world
         lookup = self.lookups.setdefault(request.host, Lookup())
@@ -138,14 +138,14 @@
         front = self.rng.choice(fronts)
         node = world.by_http.get(front)
         request_id = f'{self.rng.getrandbits(64):016x}'
-        attempt = open_notes.Attempt(
+        attempt = open_records.Attempt(
             id=request_id,
             request=request,
             front=node.name if node else front,
             front_incarnation=node.incarnation if node else 0,
             sent_at=world.now,
         )
-        self.deployment.notes.attempts.append(attempt)
+        self.deployment.records.attempts.append(attempt)
         self.deployment.by_id[request_id] = attempt
         wait = request.until - world.now
         headers = {
@@ -161,8 +161,8 @@
     def on_response(
         self,
         result: effects.HttpResult,
-        request: open_notes.Request,
-        attempt: open_notes.Attempt,
+        request: open_records.Request,
+        attempt: open_records.Attempt,
         front: str,
         retries: int,
     ) -> None:
@@ -181,7 +181,7 @@
         if self.may_retry(request, attempt, retries):
             self.retry(request, attempt, retries)
 
-    def may_retry(self, request: open_notes.Request, attempt: open_notes.Attempt, retries: int) -> bool:
+    def may_retry(self, request: open_records.Request, attempt: open_records.Attempt, retries: int) -> bool:
         """True if PROTOCOL.md allows a client to retry after this response."""
         is_answered = not attempt.fault
         status = attempt.status or 0
@@ -191,7 +191,7 @@
             return False
         return has_not_run or not request.runs_once
 
-    def retry(self, request: open_notes.Request, attempt: open_notes.Attempt, retries: int) -> None:
+    def retry(self, request: open_records.Request, attempt: open_records.Attempt, retries: int) -> None:
         """Schedule the next attempt, and the extra retries of a client that abuses retries."""
         world = self.world
         for _ in range(self.extra_repeats):
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -11,8 +11,8 @@
 import zinctrail.simulation.open_actors.application as open_application
 import zinctrail.simulation.open_actors.client as open_client
 import zinctrail.simulation.open_actors.endpoint as open_endpoint
-import zinctrail.simulation.open_actors.notes as open_notes
 import zinctrail.simulation.open_actors.operator as open_operator
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -50,13 +50,13 @@
     def __init__(self, world: 'open_world.World', shape: terms.Shape) -> None:
         self.world = world
         self.shape = shape
-        self.notes = world.notes
+        self.records = world.records
         self.cells = deployments.zones_of(shape)
         self.endpoints: list[open_endpoint.Endpoint] = []
         self.clients: list[open_client.Client] = []
         self.applications: list[open_application.Application] = []
         # The clients' attempts by request id.
-        self.by_id: dict[str | None, open_notes.Attempt] = {}
+        self.by_id: dict[str | None, open_records.Attempt] = {}
         # Called with the name of a node that acknowledged an operator's command, or an application's call.
         self.on_acknowledged: typing.Callable[[str], typing.Any] | None = None
         self.on_work_accepted: typing.Callable[[str], typing.Any] | None = None
@@ -299,7 +299,7 @@
     def tally(self) -> dict[str, int]:
         """Return the number of attempts by status: 'ok' for a success, 'none' for no response."""
         counts: dict[str, int] = {}
-        for attempt in self.notes.attempts:
+        for attempt in self.records.attempts:
             status = attempt.status
             is_good = status and 200 <= status < 300 and not attempt.fault
             key = 'ok' if is_good else str(status or 'none')
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -7,7 +7,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.effects as effects
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -32,7 +32,7 @@
 class QueuedRequest(typing.NamedTuple):
     """A queued request that waits for a free slot."""
 
-    arrival: open_notes.Arrival
+    arrival: open_records.Arrival
     headers: dict[str, str]
     callback: typing.Callable
     since: datetime.timedelta
@@ -90,7 +90,7 @@
         self.running = 0
         self.queue: list[QueuedRequest] = []
         self.open: dict[str | None, typing.Callable] = {}
-        self.work: dict[str | None, open_notes.Work] = {}
+        self.work: dict[str | None, open_records.Work] = {}
         self.warm_up_ends_at = self.world.now
         if cold:
             self.become_cold()
@@ -100,8 +100,8 @@
     def become_cold(self) -> None:
         """Begin a warm-up of COLD_S seconds."""
         self.warm_up_ends_at = self.world.now + ms(1000 * terms.COLD_S)
-        self.deployment.notes.cold_spans.append(
-            open_notes.ColdSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
+        self.deployment.records.cold_spans.append(
+            open_records.ColdSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
         )
 
     def kill(self, dark: bool = False) -> None:
@@ -112,7 +112,7 @@
         self.incarnation += 1
         if self.world.endpoints.get(self.address) is self:
             del self.world.endpoints[self.address]
-        self.deployment.notes.broke.update(self.open)
+        self.deployment.records.broke.update(self.open)
         for work in self.work.values():
             work.ended_at = self.world.now
         for callback in list(self.open.values()):
@@ -155,9 +155,9 @@
         incarnation = self.incarnation
         incarnation_id = self.incarnation_id
         world = self.world
-        notes = self.deployment.notes
-        order = open_notes.Order('drain', size=0, sent_at=world.now)
-        notes.orders.append(order)
+        records = self.deployment.records
+        order = open_records.Order('drain', size=0, sent_at=world.now)
+        records.orders.append(order)
 
         def on_drain_response(response: 'open_deployment.Response') -> None:
             """Record the response; deregister after the bound on late requests, or soon if draining was refused."""
@@ -166,7 +166,7 @@
             if incarnation != self.incarnation:
                 return
             if response.status == 200:
-                notes.states.append(open_notes.StateChange(world.now, response.node, incarnation_id, 'draining'))
+                records.states.append(open_records.StateChange(world.now, response.node, incarnation_id, 'draining'))
                 world.after(terms.TERMS.drain + terms.AFTER_DRAIN, self.deregister, incarnation, then)
             else:
                 world.after(DEREGISTER_AFTER_REFUSAL, self.deregister, incarnation, then)
@@ -182,8 +182,8 @@
         def on_leave_response(response: 'open_deployment.Response') -> None:
             """Record the response, and end."""
             if response.status == 200:
-                change = open_notes.StateChange(self.world.now, response.node, incarnation_id, 'gone')
-                self.deployment.notes.states.append(change)
+                change = open_records.StateChange(self.world.now, response.node, incarnation_id, 'gone')
+                self.deployment.records.states.append(change)
             if incarnation == self.incarnation:
                 self.kill()
                 if then:
@@ -205,7 +205,7 @@
             self.check_health(call, callback)
             return None
         headers = call.headers
-        arrival = open_notes.Arrival(
+        arrival = open_records.Arrival(
             at=self.world.now,
             id=headers.get('zt-id'),
             incarnation=self.incarnation_id,
@@ -217,7 +217,7 @@
             body=call.body,
             is_misdirected=headers.get('zt-inc') not in (None, self.incarnation_id),
         )
-        self.deployment.notes.arrivals.append(arrival)
+        self.deployment.records.arrivals.append(arrival)
         if arrival.is_misdirected:
             callback(self.refusal(headers, 421))
         elif not arrival.id:
@@ -273,24 +273,24 @@
 
     def note_answer(self, request_id: str, status: int, body: bytes) -> None:
         """Record the response to a request."""
-        given = open_notes.GivenAnswer(status, body, self.world.now)
-        self.deployment.notes.given_answers.setdefault(request_id, []).append(given)
+        given = open_records.GivenAnswer(status, body, self.world.now)
+        self.deployment.records.given_answers.setdefault(request_id, []).append(given)
 
     # -- work -----------------------------------------------------------------------
 
-    def run(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> str:
+    def run(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> str:
         """Run a request, until its deadline at most; return its id."""
         world = self.world
         self.running += 1
-        self.deployment.notes.runs.append(dataclasses.replace(arrival, at=world.now))
+        self.deployment.records.runs.append(dataclasses.replace(arrival, at=world.now))
         self.open[arrival.id] = callback
         factor = WARM_UP_WORK_FACTOR if world.now < self.warm_up_ends_at else 1
         random_work = ms(self.work_ms * factor * world.rng.lognormvariate(*WORK_FACTOR_DISTRIBUTION))
         work = min(random_work, ms(self.work_ms * MAX_WORK_FACTOR))
         remaining = ms(int(headers.get('zt-left-ms', DEFAULT_REMAINING_MS)))
-        noted = open_notes.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
+        noted = open_records.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
         self.work[arrival.id] = noted
-        self.deployment.notes.work.append(noted)
+        self.deployment.records.work.append(noted)
         world.after(min(work, remaining), self.finish, self.incarnation, arrival, callback, work > remaining)
         return arrival.id
 
@@ -300,7 +300,7 @@
         self.open.pop(request_id, None)
         self.work.pop(request_id).ended_at = self.world.now
 
-    def finish(self, incarnation: int, arrival: open_notes.Arrival, callback: typing.Callable, is_late: bool) -> None:
+    def finish(self, incarnation: int, arrival: open_records.Arrival, callback: typing.Callable, is_late: bool) -> None:
         """Respond to a request whose work is done, and run queued requests."""
         world = self.world
         request_id = arrival.id
@@ -319,7 +319,7 @@
     def damage(self, request_id: str, result: effects.HttpResult) -> effects.HttpResult:
         """Return a response as the proxy receives it: unchanged, or damaged as the probabilities have it."""
         now = self.world.now
-        broke = self.deployment.notes.broke
+        broke = self.deployment.records.broke
         draw = self.world.rng.random()
         lost_below = self.loss_chance
         truncated_below = lost_below + self.truncation_chance
@@ -356,34 +356,34 @@
 
     # -- failure modes of requests while health checks pass --------------------------
 
-    def fail_by_error(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_error(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request runs and gets a 500."""
         request_id = arrival.id
-        self.deployment.notes.runs.append(arrival)
+        self.deployment.records.runs.append(arrival)
         body = json.dumps({'id': request_id, 'by': self.incarnation_id, 'error': True}).encode()
         self.note_answer(request_id, 500, body)
         callback(effects.HttpResult(500, self.response_headers(request_id), body))
 
-    def fail_by_shed(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_shed(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and gets a 503, as if the queue were full."""
         callback(self.refusal(headers, 503))
 
-    def fail_by_busy(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_busy(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and gets a 429, as if there were too many requests."""
         callback(self.refusal(headers, 429))
 
-    def fail_by_hang(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_hang(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request runs and never gets a response."""
-        self.deployment.notes.runs.append(arrival)
-        self.deployment.notes.broke.add(arrival.id)
+        self.deployment.records.runs.append(arrival)
+        self.deployment.records.broke.add(arrival.id)
 
-    def fail_by_mute(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_mute(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and never gets a response."""
-        self.deployment.notes.broke.add(arrival.id)
+        self.deployment.records.broke.add(arrival.id)
 
-    def fail_by_reset(self, arrival: open_notes.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
+    def fail_by_reset(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and its connection is reset."""
-        self.deployment.notes.broke.add(arrival.id)
+        self.deployment.records.broke.add(arrival.id)
         callback(effects.HttpResult(fault='connection lost'))
 
 
--- a/zinctrail/simulation/open_actors/operator.py
+++ b/zinctrail/simulation/open_actors/operator.py
@@ -6,7 +6,7 @@
 import typing
 
 import zinctrail.runtime.durations as durations
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 if typing.TYPE_CHECKING:
@@ -31,10 +31,10 @@
         self.world = deployment.world
         self.name = name
 
-    def new_order(self, what: str, size: int = 1) -> open_notes.Order:
+    def new_order(self, what: str, size: int = 1) -> open_records.Order:
         """Record a command that is sent now."""
-        order = open_notes.Order(what, size, sent_at=self.world.now)
-        self.deployment.notes.orders.append(order)
+        order = open_records.Order(what, size, sent_at=self.world.now)
+        self.deployment.records.orders.append(order)
         return order
 
     def change(
@@ -55,7 +55,7 @@
         order = self.new_order('change')
         changes = changes_of(document, order)
         order.size = len(changes)
-        self.deployment.notes.changes += changes
+        self.deployment.records.changes += changes
         raw = body if body is not None else json.dumps(document).encode()
 
         def on_response(response: 'open_deployment.Response') -> None:
@@ -73,8 +73,8 @@
 
     def evacuate(self, cell: str, is_evacuated: bool = True) -> None:
         """Evacuate a zone, or end its evacuation."""
-        evacuation = open_notes.Evacuation(cell, is_evacuated, sent_at=self.world.now)
-        self.deployment.notes.evacuations.append(evacuation)
+        evacuation = open_records.Evacuation(cell, is_evacuated, sent_at=self.world.now)
+        self.deployment.records.evacuations.append(evacuation)
         order = self.new_order(f'empty {cell} {is_evacuated}')
 
         def on_response(response: 'open_deployment.Response') -> None:
@@ -103,18 +103,18 @@
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the items that were read."""
             items = response.document.get('items') if response.status == 200 else None
-            self.deployment.notes.reads.append(open_notes.Read(sent_at, self.world.now, items))
+            self.deployment.records.reads.append(open_records.Read(sent_at, self.world.now, items))
             callback(response.document)
 
         self.deployment.ask(self.name, 'GET', '/v1/items', lambda: None, on_response, length)
 
 
-def changes_of(document: dict, order: open_notes.Order) -> list[open_notes.Change]:
+def changes_of(document: dict, order: open_records.Order) -> list[open_records.Change]:
     """Return the change of each item that a document sets or drops, as parts of one command."""
     changes = []
     for part in ('rules', 'pools'):
         for row in document['set'].get(part, ()):
-            changes.append(open_notes.Change(f'{part}/{row["name"]}', row['version'], row, order.sent_at, order))
+            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], row, order.sent_at, order))
         for row in document['drop'].get(part, ()):
-            changes.append(open_notes.Change(f'{part}/{row["name"]}', row['version'], None, order.sent_at, order))
+            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], None, order.sent_at, order))
     return changes
--- a/zinctrail/simulation/open_actors/notes.py
+++ b/zinctrail/simulation/open_actors/records.py
@@ -243,7 +243,7 @@
     fault: str
 
 
-class Notes:
+class Records:
     """All that was observed from outside, in the order of virtual time."""
 
     def __init__(self):
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -9,7 +9,7 @@
 import zinctrail.runtime.effects as effects
 import zinctrail.simulation.network as network
 import zinctrail.simulation.node as simulated_node
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 import zinctrail.simulation.world as simulated_world
 
@@ -31,9 +31,9 @@
         super().__init__(*args, **kwargs)
         # The zone of each process, endpoint and user, by its name.
         self.cells: dict[str, str] = {}
-        self.notes = open_notes.Notes()
+        self.records = open_records.Records()
         # The cuts that are not healed, by (source, target).
-        self.open_cuts: dict[tuple[str, str], open_notes.Cut] = {}
+        self.open_cuts: dict[tuple[str, str], open_records.Cut] = {}
 
     def add(self, name: str, role: str, cell: str, *args, **kwargs) -> simulated_node.Node:
         """Add a node that is not started yet, and record its zone."""
@@ -53,9 +53,9 @@
         """Cut a link as simulation.network does, and record the cut."""
         super().cut(source, target, both)
         if (source, target) not in self.open_cuts:
-            noted = open_notes.Cut(source, target, self.now)
+            noted = open_records.Cut(source, target, self.now)
             self.open_cuts[source, target] = noted
-            self.notes.cuts.append(noted)
+            self.records.cuts.append(noted)
 
     def heal(self, *names: str) -> None:
         """Heal links as simulation.network does, and record when each cut ended."""
@@ -75,7 +75,7 @@
             and self.now - connection[2] < self.IDLE
         )
         if endpoint is not None and self.is_cut(caller, endpoint.name):
-            self.notes.swallowed.add(effect.headers.get('zt-id'))
+            self.records.swallowed.add(effect.headers.get('zt-id'))
         if is_kept and self.is_cut(caller, endpoint.name):
             deferred: defer.Deferred = defer.Deferred()
             # The request counts as sent: the connection was open, and the fate of the bytes is unknown.
@@ -100,7 +100,7 @@
     ) -> defer.Deferred:
         """Fail a request on a connection that the endpoint dropped without notice; the endpoint never sees the request."""
         del self.connections[caller, effect.incarnation]
-        self.notes.broke.add(effect.headers.get('zt-id'))
+        self.records.broke.add(effect.headers.get('zt-id'))
         deferred: defer.Deferred = defer.Deferred()
         # The request counts as sent, since the bytes went out: a reset does not tell whether they were read.
         lost = effects.HttpResult(fault='connection lost')
@@ -114,5 +114,5 @@
             for request_id, callback in list(endpoint.open.items()):
                 front = endpoint.deployment.by_id[request_id].front
                 if front == node.name and self.rng.random() < share:
-                    self.notes.broke.add(request_id)
+                    self.records.broke.add(request_id)
                     callback(effects.HttpResult(fault='connection lost'))
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -22,7 +22,7 @@
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
 import zinctrail.simulation.open_actors.endpoint as open_endpoint
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 import zinctrail.simulation.open_actors.world as open_world
 import zinctrail.simulation.open_checks as open_checks
@@ -129,7 +129,7 @@
             self.miss(name)
             return
         world.run(ms(4000))
-        self.deployment.notes.closings.append(open_notes.Closing(struck_at[0], world.now, name))
+        self.deployment.records.closings.append(open_records.Closing(struck_at[0], world.now, name))
         world.run(ms(22000))
 
     def verdicts(self, only: str | None = None) -> list[str]:
