--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -70,8 +70,8 @@
 def acknowledged(records, version, at):
     """Note that a version of the rule was acknowledged."""
     row = dict(RULE, version=version)
-    order = open_records.Order('change', size=1, sent_at=at - ms(50))
-    change = open_records.Change('rules/r-new', version, row, order.sent_at, order, responded_at=at, status=200)
+    command = open_records.Command('change', size=1, sent_at=at - ms(50))
+    change = open_records.Change('rules/r-new', version, row, command.sent_at, command, responded_at=at, status=200)
     records.changes.append(change)
 
 
@@ -92,8 +92,8 @@
     attempt = open_records.Attempt(
         id=f'{number:016x}',
         request=request,
-        front='prox0',
-        front_incarnation=1,
+        proxy='prox0',
+        proxy_incarnation=1,
         sent_at=at,
         responded_at=at + ms(5),
         status=404,
@@ -204,7 +204,7 @@
     context.proxy = context.world.of('prox')[0]
     assert context.world.run(ms(9000), lambda: len(context.proxy.requests) > 1)
     records = context.deployment.records
-    context.under_way = [tr for tr in records.attempts if tr.responded_at is None and tr.front == context.proxy.name]
+    context.under_way = [tr for tr in records.attempts if tr.responded_at is None and tr.proxy == context.proxy.name]
     assert context.under_way
     context.world.reset(context.proxy, 1.0)
     context.reset_at = context.world.now
@@ -224,7 +224,7 @@
     served = [
         tr
         for tr in context.deployment.records.attempts
-        if tr.front == context.proxy.name and tr.sent_at > context.reset_at and tr.is_success()
+        if tr.proxy == context.proxy.name and tr.sent_at > context.reset_at and tr.is_success()
     ]
     assert served
     assert min(tr.responded_at for tr in served) < context.reset_at + ms(1000), served[0].responded_at
--- a/zinctrail/simulation/actors/deployment.py
+++ b/zinctrail/simulation/actors/deployment.py
@@ -37,16 +37,16 @@
         self.applications: list[application_actor.Application] = []
         for role, count in (('core', shape['cores']), ('dir', shape['dirs']), ('prox', shape['proxies'])):
             for number in range(count):
-                world.add(f'{role}{number}', role, self.cell_number(number))
+                world.add(f'{role}{number}', role, self.zone_at(number))
         self.seeds = [world.nodes[name].location.addr for name in ('core0', 'core1', 'dir0')]
         for node in world.nodes.values():
             node.location.seeds = list(self.seeds)
         for service, count in shape['services'].items():
             for number in range(count):
-                self.add_endpoint(service, self.cell_number(number), slots)
+                self.add_endpoint(service, self.zone_at(number), slots)
         self.operator = operator_actor.Operator(self)
 
-    def cell_number(self, number: int) -> str:
+    def zone_at(self, number: int) -> str:
         """The name of a zone, counted round and round."""
         return self.cells[number % len(self.cells)]
 
@@ -87,14 +87,14 @@
         count = len(self.cells) * per_cell
         for number in range(count):
             name = f'caller{len(self.callers)}'
-            caller = caller_actor.Caller(self, name, self.cell_number(number), services, rate / count, **more)
+            caller = caller_actor.Caller(self, name, self.zone_at(number), services, rate / count, **more)
             self.callers.append(caller)
             caller.start()
 
     def start_applications(self, count: int = 3, **more) -> None:
         """Start applications, spread over the cells."""
         for number in range(count):
-            application = application_actor.Application(self, f'app{number}', self.cell_number(number), **more)
+            application = application_actor.Application(self, f'app{number}', self.zone_at(number), **more)
             self.applications.append(application)
             application.start()
 
--- a/zinctrail/simulation/actors/endpoint.py
+++ b/zinctrail/simulation/actors/endpoint.py
@@ -181,7 +181,7 @@
             id=headers['zt-id'],
             attempt=int(headers['zt-attempt']),
             incarnation=self.admission.incarnation,
-            meant_for=headers['zt-inc'],
+            target_incarnation=headers['zt-inc'],
             is_stranger=headers['zt-inc'] not in self.incarnations,
             address=self.address,
             service=self.service,
--- a/zinctrail/simulation/actors/records.py
+++ b/zinctrail/simulation/actors/records.py
@@ -50,7 +50,7 @@
     attempt: int
     # The incarnation that it reached, and the one that it was sent to.
     incarnation: str
-    meant_for: str
+    target_incarnation: str
     # Whether it was sent to none of the incarnations that this process ever was.
     is_stranger: bool
     address: str
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -37,7 +37,7 @@
     drained = request_checkers.drained_at(deployment)
     for arrival in records.arrivals:
         for name, times in (('drained_ms', drained), ('gone_ms', records.gone)):
-            at = times.get(arrival.meant_for)
+            at = times.get(arrival.target_incarnation)
             if at is not None and arrival.at > at:
                 worst.add(name, durations.to_ms(arrival.at - at))
         if arrival.capacity < deployment.endpoints[0].slots:
--- a/zinctrail/simulation/checkers/open_configuration.py
+++ b/zinctrail/simulation/checkers/open_configuration.py
@@ -90,22 +90,22 @@
     ran = open_requests.by_id(deployment.records.runs)
     for attempt in deployment.records.attempts:
         sent_at = attempt.sent_at
-        front = attempt.front
+        proxy = attempt.proxy
         key = rule_key(attempt)
-        slack = deployment.contact.slack(front, attempt.responded_at or sent_at, sent_at - TERMS.config)
+        slack = deployment.contact.slack(proxy, attempt.responded_at or sent_at, sent_at - TERMS.config)
         if slack is None:
             continue
         over = TERMS.config + slack
         possible = versions.possible(key, sent_at, over)
         if not possible:
             continue
-        what = f'{attempt.id} of {attempt.request.rule}, sent at {seconds(sent_at)} to {front},'
+        what = f'{attempt.id} of {attempt.request.rule}, sent at {seconds(sent_at)} to {proxy},'
         pools = pools_of_all(possible)
         for run in ran.get(attempt.id, ()):
             if run.service not in pools:
                 in_force = [(change.version, sorted(terms.pools_of(change.row))) for change in possible]
                 findings.append(f'{what} ran at {run.service}; in force {in_force}')
-        has_no_rule = attempt.is_answered() and attempt.status == 404 and 'zt-id' not in attempt.headers
+        has_no_rule = attempt.has_response() and attempt.status == 404 and 'zt-id' not in attempt.headers
         if has_no_rule and versions.must_route(key, sent_at, over):
             findings.append(f'{what} got 404')
     return findings
@@ -132,12 +132,12 @@
             ]
             if not fitting:
                 continue
-            process = (attempt.front, attempt.front_incarnation, key)
+            process = (attempt.proxy, attempt.proxy_incarnation, key)
             earlier = [low for at, low in seen[process] if at + TERMS.revert * 8 < attempt.sent_at]
             floor = max(earlier, default=-1)
             if max(fitting) < floor:
                 findings.append(
-                    f'{attempt.id} of {attempt.request.rule} by {attempt.front} at {seconds(run.at)}:'
+                    f'{attempt.id} of {attempt.request.rule} by {attempt.proxy} at {seconds(run.at)}:'
                     f' back from {floor} to {max(fitting)}'
                 )
             seen[process].append((run.at, min(fitting)))
@@ -161,7 +161,7 @@
 def _is_contested(deployment: open_deployment.Deployment, refused: open_records.Change) -> bool:
     """Whether a 409 is right: an item of the call has a version under which another content was sent."""
     changes = deployment.records.changes
-    items = [change for change in changes if change.order is refused.order]
+    items = [change for change in changes if change.command is refused.command]
     contents = {(change.key, change.version): change.row for change in items}
     return refused.status == 409 and any(
         contents.get((change.key, change.version), change.row) != change.row and change.status not in (400, 409)
@@ -183,7 +183,7 @@
         if len(rows) > 1
     ]
     statuses = collections.defaultdict(set)
-    for rows in registry.grouped(deployment.records.changes, lambda change: id(change.order)).values():
+    for rows in registry.grouped(deployment.records.changes, lambda change: id(change.command)).values():
         items = str([(change.key, change.version, change.row) for change in rows])
         statuses[items].add(rows[0].status)
     return findings + [f'{items}: acknowledged and refused' for items, all_ in statuses.items() if {200, 409} <= all_]
@@ -234,11 +234,11 @@
     wrong = [
         attempt
         for attempt in attempts
-        if attempt.is_answered()
+        if attempt.has_response()
         and 300 <= attempt.status < 500
         and attempt.status not in (408, 421, 429)
         and 'zt-stamp' not in attempt.headers
-        and deployment.contact.is_bound(attempt.front, attempt.responded_at)
+        and deployment.contact.is_bound(attempt.proxy, attempt.responded_at)
         and versions.must_route(rule_key(attempt), attempt.sent_at, TERMS.config)
     ]
     if len(wrong) > 5 + len(attempts) / 500:
@@ -256,23 +256,23 @@
     records = deployment.records
     contact = deployment.contact
     contested = {
-        id(change.order) for change in records.changes if change.status == 409 and _is_contested(deployment, change)
+        id(change.command) for change in records.changes if change.status == 409 and _is_contested(deployment, change)
     }
-    for order in records.orders:
-        if order.is_invalid or id(order) in contested:
+    for command in records.commands:
+        if command.is_invalid or id(command) in contested:
             continue
-        until = order.sent_at + TERMS.ack + ms(3) * order.size
-        end = order.responded_at if order.status == 200 else deployment.world.now
-        is_settled = open_contact.is_calm(contact.control, order.sent_at - TERMS.contact, until)
+        until = command.sent_at + TERMS.ack + ms(3) * command.size
+        end = command.responded_at if command.status == 200 else deployment.world.now
+        is_settled = open_contact.is_calm(contact.control, command.sent_at - TERMS.contact, until)
         # No stretch counts in which acknowledgements are lost.
-        is_late = end > until and is_settled and open_contact.is_calm(records.ack_losses, order.sent_at, until)
-        if order.what == 'drain':
+        is_late = end > until and is_settled and open_contact.is_calm(records.ack_losses, command.sent_at, until)
+        if command.what == 'drain':
             drains = drains + 1
             late_drains = late_drains + is_late
         elif is_late:
             findings.append(
-                f'{order.what} sent at {seconds(order.sent_at)} had no acknowledgement by {seconds(until)}:'
-                f' {order.status}'
+                f'{command.what} sent at {seconds(command.sent_at)} had no acknowledgement by {seconds(until)}:'
+                f' {command.status}'
             )
     if late_drains >= 3 and late_drains > drains / 5:
         findings.append(f'{late_drains} of {drains} endpoints that said they leave had no acknowledgement')
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -31,9 +31,9 @@
     for evacuation in records.evacuations:
         if evacuation.is_evacuated and evacuation.acknowledged_at:
             _add_evacuation(deployment, evacuation, worst)
-    for order in records.orders:
-        if order.status == 200:
-            worst.add('ack_ms', durations.to_ms(order.responded_at - order.sent_at))
+    for command in records.commands:
+        if command.status == 200:
+            worst.add('ack_ms', durations.to_ms(command.responded_at - command.sent_at))
     good = sum(attempt.is_success() for attempt in records.attempts)
     worst.add('failed_share', 1 - good / max(1, len(records.attempts)))
     return dict(worst)
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -21,7 +21,7 @@
 
 def attempt_of(deployment: open_deployment.Deployment, arrival: open_records.Arrival) -> open_records.Attempt | None:
     """The attempt of an arrival, where a client sent it."""
-    return deployment.by_id.get(arrival.id)
+    return deployment.attempts_by_id.get(arrival.id)
 
 
 def by_id(rows: typing.Iterable[Row]) -> dict[typing.Any, list[Row]]:
@@ -35,7 +35,9 @@
     return [
         f'{request_id} ran {len(runs)} times'
         for request_id, runs in by_id(deployment.records.runs).items()
-        if len(runs) > 1 and request_id in deployment.by_id and deployment.by_id[request_id].request.runs_once
+        if len(runs) > 1
+        and request_id in deployment.attempts_by_id
+        and deployment.attempts_by_id[request_id].request.runs_once
     ]
 
 
@@ -46,7 +48,10 @@
     return [
         f'{attempt.id} told {attempt.status} at {seconds(attempt.responded_at)}, ran at {seconds(ran[attempt.id][0].at)}'
         for attempt in deployment.records.attempts
-        if attempt.request.runs_once and attempt.is_answered() and attempt.status in terms.PROMISE and attempt.id in ran
+        if attempt.request.runs_once
+        and attempt.has_response()
+        and attempt.status in terms.NOT_RUN_STATUSES
+        and attempt.id in ran
     ]
 
 
@@ -55,18 +60,18 @@
     """An answer to another request, or a success that no endpoint gave."""
     findings = []
     for attempt in deployment.records.attempts:
-        if not attempt.is_answered():
+        if not attempt.has_response():
             continue
         request_id = attempt.id
         headers = attempt.headers
-        given = deployment.records.given_answers.get(request_id, ())
+        given = deployment.records.sent_responses.get(request_id, ())
         named = headers.get('zt-id')
         if named is not None and named != request_id:
             findings.append(f'{request_id}: got the answer to {named}')
         elif attempt.is_success():
             if 'zt-stamp' not in headers:
                 findings.append(f'{request_id}: a success without a stamp')
-            elif not any(each.status == attempt.status and each.body == attempt.answer_body for each in given):
+            elif not any(each.status == attempt.status and each.body == attempt.response_body for each in given):
                 findings.append(f'{request_id}: a success whose body no endpoint gave for it')
     return findings
 
@@ -105,9 +110,9 @@
         attempt = attempt_of(deployment, arrival)
         if at is None or arrival.is_misdirected or attempt is None or arrival.at <= at + TERMS.drain:
             continue
-        if deployment.contact.is_bound(attempt.front, arrival.at, at):
+        if deployment.contact.is_bound(attempt.proxy, arrival.at, at):
             findings.append(
-                f'{arrival.id} by {attempt.front} reached {arrival.incarnation}'
+                f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation}'
                 f' {seconds(arrival.at - at)} after it was acknowledged'
             )
     return findings
@@ -132,21 +137,21 @@
     for attempt in deployment.records.attempts:
         if attempt.responded_at is None or not attempt.was_sent:
             continue
-        for stopped_at in stops[attempt.front]:
+        for stopped_at in stops[attempt.proxy]:
             until = stopped_at + TERMS.grace + ms(1000)
             if not stopped_at <= attempt.responded_at <= until or attempt.sent_at > attempt.responded_at:
                 continue
-            if _is_disturbed(deployment, attempt, kills[attempt.front]):
+            if _is_disturbed(deployment, attempt, kills[attempt.proxy]):
                 continue
             if attempt.fault == 'connection lost':
                 findings.append(
                     f'{attempt.id} sent at {seconds(attempt.sent_at)} was broken off at'
-                    f' {seconds(attempt.responded_at)} by {attempt.front}, told to end at {seconds(stopped_at)}'
+                    f' {seconds(attempt.responded_at)} by {attempt.proxy}, told to end at {seconds(stopped_at)}'
                 )
             elif _ended_while_at_work(deployment, attempt, ran):
                 findings.append(
                     f'{attempt.id} got {attempt.status} at {seconds(attempt.responded_at)} while at work,'
-                    f' {attempt.front} was told to end at {seconds(stopped_at)}'
+                    f' {attempt.proxy} was told to end at {seconds(stopped_at)}'
                 )
     return findings
 
@@ -160,7 +165,7 @@
     return any(since <= at <= until for at in kills) or any(
         cut.begins_at <= until and (cut.ends_at is None or cut.ends_at >= since)
         for cut in deployment.records.cuts
-        if attempt.front in (cut.one, cut.other)
+        if attempt.proxy in (cut.one, cut.other)
     )
 
 
@@ -170,13 +175,13 @@
     """Whether the front gave up a request in time that an endpoint was still at work on."""
     request_id = attempt.id
     is_own_error = (
-        attempt.is_answered() and attempt.status >= 500 and attempt.status != 503 and 'zt-stamp' not in attempt.headers
+        attempt.has_response() and attempt.status >= 500 and attempt.status != 503 and 'zt-stamp' not in attempt.headers
     )
     if not is_own_error or attempt.responded_at >= attempt.request.until - ms(50):
         return False
-    if request_id not in ran or request_id in deployment.records.broke:
+    if request_id not in ran or request_id in deployment.records.endpoint_failures:
         return False
-    done = [given.at for given in deployment.records.given_answers.get(request_id, ())]
+    done = [given.at for given in deployment.records.sent_responses.get(request_id, ())]
     return not done or max(done) > attempt.responded_at
 
 
@@ -185,13 +190,13 @@
     """A request that was given up is not answered at once: nobody is left without an answer, offered to no endpoint."""
     offered = by_id(deployment.records.arrivals)
     return [
-        f'{attempt.id} of {attempt.request.rule} had no answer from {attempt.front} by {seconds(attempt.responded_at)}'
+        f'{attempt.id} of {attempt.request.rule} had no answer from {attempt.proxy} by {seconds(attempt.responded_at)}'
         for attempt in deployment.records.attempts
         if attempt.fault == 'late'
-        and attempt.left_at is None
+        and attempt.abandoned_at is None
         and attempt.id not in offered
-        and attempt.id not in deployment.records.swallowed
-        and deployment.contact.is_bound(attempt.front, attempt.responded_at, attempt.sent_at)
+        and attempt.id not in deployment.records.sent_while_cut_off
+        and deployment.contact.is_bound(attempt.proxy, attempt.responded_at, attempt.sent_at)
         and attempt.responded_at - attempt.sent_at > ms(300)
     ]
 
@@ -205,17 +210,17 @@
     left = {attempt.id: attempt for attempt in deployment.records.attempts if _binds_after_leaving(deployment, attempt)}
     findings = [
         f'{work.id} was at work at {work.incarnation} until {seconds(work.ended_at or work.until)},'
-        f' its client left {left[work.id].front} at {seconds(left[work.id].left_at)}'
+        f' its client left {left[work.id].proxy} at {seconds(left[work.id].abandoned_at)}'
         for work in deployment.records.work
         if work.id in left
-        and min(work.until, work.ended_at or work.until) > left[work.id].left_at + TERMS.left
-        and work.id not in deployment.records.swallowed
+        and min(work.until, work.ended_at or work.until) > left[work.id].abandoned_at + TERMS.abandoned_work
+        and work.id not in deployment.records.sent_while_cut_off
     ]
     findings += [
         f'{arrival.id} reached {arrival.incarnation} at {seconds(arrival.at)},'
-        f' its client left {left[arrival.id].front} at {seconds(left[arrival.id].left_at)}'
+        f' its client left {left[arrival.id].proxy} at {seconds(left[arrival.id].abandoned_at)}'
         for arrival in deployment.records.arrivals
-        if arrival.id in left and arrival.at > left[arrival.id].left_at + TERMS.left
+        if arrival.id in left and arrival.at > left[arrival.id].abandoned_at + TERMS.abandoned_work
     ]
     return findings
 
@@ -223,9 +228,11 @@
 def _binds_after_leaving(deployment: open_deployment.Deployment, attempt: open_records.Attempt) -> bool:
     """Whether a client left an attempt that may be repeated, at a front in contact."""
     return (
-        attempt.left_at is not None
+        attempt.abandoned_at is not None
         and not attempt.request.runs_once
-        and deployment.contact.is_bound(attempt.front, attempt.left_at + TERMS.left, attempt.left_at)
+        and deployment.contact.is_bound(
+            attempt.proxy, attempt.abandoned_at + TERMS.abandoned_work, attempt.abandoned_at
+        )
     )
 
 
@@ -236,14 +243,14 @@
 def failback(deployment: open_deployment.Deployment) -> list[str]:
     """A cold endpoint gets more requests in a second than it bears; the first finding of each is told."""
     findings: dict[str, str] = {}
-    spans = registry.grouped(deployment.records.cold_spans, lambda span: span.incarnation)
+    spans = registry.grouped(deployment.records.warm_up_spans, lambda span: span.incarnation)
     by_incarnation = collections.defaultdict(list)
     for arrival in deployment.records.arrivals:
         attempt = attempt_of(deployment, arrival)
         is_cold = any(span.begins_at <= arrival.at < span.ends_at for span in spans.get(arrival.incarnation, ()))
         if not arrival.is_misdirected and attempt and is_cold:
             by_incarnation[arrival.incarnation].append((arrival.at, attempt.sent_at))
-    bears = terms.COLD_PER_S * TERMS.cold_ratio + TERMS.cold_slack
+    bears = terms.WARM_UP_RATE * TERMS.warm_up_ratio + TERMS.warm_up_slack
     for incarnation, rows in by_incarnation.items():
         for position, (at, _) in enumerate(rows):
             since = at - ms(1000)
@@ -274,14 +281,14 @@
     regions = _calm_regions(deployment)
     findings = []
     for attempt in deployment.records.attempts:
-        if not attempt.request.home or attempt.front not in deployment.world.cells:
+        if not attempt.request.home or attempt.proxy not in deployment.world.cells:
             continue
         own_region = _client_region(deployment, attempt)
-        if deployment.region_of(attempt.front) in (*attempt.request.home, own_region):
+        if deployment.region_of(attempt.proxy) in (*attempt.request.home, own_region):
             continue
         if regions.is_calm(own_region, attempt.sent_at):
             findings.append(
-                f'{attempt.id} of a client in {own_region} led to {attempt.front} at {seconds(attempt.sent_at)}'
+                f'{attempt.id} of a client in {own_region} led to {attempt.proxy} at {seconds(attempt.sent_at)}'
             )
     return findings
 
@@ -315,7 +322,7 @@
 
     def is_calm(self, region: str, at: datetime.timedelta) -> bool:
         """Whether a region has had no trouble for long enough."""
-        return open_contact.is_calm(self.troubles[region], at - TERMS.calm, at)
+        return open_contact.is_calm(self.troubles[region], at - TERMS.region_recovery, at)
 
 
 @check('evac')
@@ -332,10 +339,10 @@
                 continue
             if until and arrival.at >= until:
                 continue
-            slack = deployment.contact.slack(attempt.front, arrival.at, evacuation.acknowledged_at)
+            slack = deployment.contact.slack(attempt.proxy, arrival.at, evacuation.acknowledged_at)
             if slack is not None and arrival.at > evacuation.acknowledged_at + TERMS.evacuation + slack:
                 findings.append(
-                    f'{arrival.id} by {attempt.front} reached {arrival.incarnation} in {evacuation.cell}'
+                    f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation} in {evacuation.cell}'
                     f' {seconds(arrival.at - evacuation.acknowledged_at)} after its evacuation was acknowledged'
                 )
     return findings
@@ -346,9 +353,9 @@
     """Too few requests are served once the bound after a closing fault has passed."""
     findings = []
     attempts = deployment.records.attempts
-    for closing in deployment.records.closings:
-        before = [attempt for attempt in attempts if attempt.sent_at < closing.struck_at]
-        after = [attempt for attempt in attempts if attempt.sent_at > closing.back_at + TERMS.recovery]
+    for closing in deployment.records.closing_faults:
+        before = [attempt for attempt in attempts if attempt.sent_at < closing.began_at]
+        after = [attempt for attempt in attempts if attempt.sent_at > closing.recovered_at + TERMS.recovery]
         if len(after) < 20 or sum(attempt.is_success() for attempt in before) < len(before) / 4:
             continue
         served = sum(attempt.is_success() for attempt in after)
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -96,9 +96,9 @@
 ) -> list[str]:
     """Arrivals for an incarnation longer than the bound after its time."""
     return [
-        f'{arrival.id} reached {arrival.meant_for} {seconds(arrival.at - times[arrival.meant_for])} after {event}'
+        f'{arrival.id} reached {arrival.target_incarnation} {seconds(arrival.at - times[arrival.target_incarnation])} after {event}'
         for arrival in deployment.records.arrivals
-        if arrival.meant_for in times and arrival.at > times[arrival.meant_for] + REACHED_MOST
+        if arrival.target_incarnation in times and arrival.at > times[arrival.target_incarnation] + REACHED_MOST
     ]
 
 
@@ -106,7 +106,7 @@
 def newcomer_reached(deployment: client_deployment.Deployment) -> list[str]:
     """A request reaches a newcomer at the address of the endpoint that it was sent to."""
     return [
-        f'{arrival.id} meant for {arrival.meant_for} reached the newcomer {arrival.incarnation} at {arrival.address}'
+        f'{arrival.id} meant for {arrival.target_incarnation} reached the newcomer {arrival.incarnation} at {arrival.address}'
         for arrival in deployment.records.arrivals
         if arrival.is_stranger
     ]
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -69,9 +69,9 @@
     others = [other.location.addr for other in scenario.world.of('core') if other is not node]
     for other in scenario.world.nodes.values():
         other.location.seeds = [node.location.addr, *others[:2]]
-    for front in scenario.rng.sample(scenario.world.of('prox'), 2):
-        front.kill()
-        scenario.restart(front, ms(800))
+    for proxy in scenario.rng.sample(scenario.world.of('prox'), 2):
+        proxy.kill()
+        scenario.restart(proxy, ms(800))
     return SHORT_CUT + ms(1000)
 
 
@@ -229,11 +229,11 @@
 
     def over() -> None:
         """Stop listening, and note a miss if no call was accepted."""
-        scenario.deployment.on_work_accepted = None
+        scenario.deployment.on_call_accepted = None
         if not hit:
             scenario.miss('when_work_is_accepted')
 
-    scenario.deployment.on_work_accepted = struck
+    scenario.deployment.on_call_accepted = struck
     scenario.later(ms(3000), over)
     return ms(8000)
 
--- a/zinctrail/simulation/faults/open_endpoints.py
+++ b/zinctrail/simulation/faults/open_endpoints.py
@@ -26,8 +26,8 @@
     """A third of the clients send three more requests at once for each one that fails."""
     clients = scenario.deployment.clients
     for client in scenario.rng.sample(clients, max(1, len(clients) // 3)):
-        client.extra_repeats = 3
-        scenario.later(SPAN, setattr, client, 'extra_repeats', 0)
+        client.extra_retries = 3
+        scenario.later(SPAN, setattr, client, 'extra_retries', 0)
     return ms(6000)
 
 
@@ -36,8 +36,8 @@
     """Half of the clients give requests up within 300 ms, while most endpoints of a service are slow."""
     clients = scenario.deployment.clients
     for client in scenario.rng.sample(clients, max(1, len(clients) // 2)):
-        client.patience = ms(300)
-        scenario.later(SPAN, setattr, client, 'patience', None)
+        client.abandon_timeout = ms(300)
+        scenario.later(SPAN, setattr, client, 'abandon_timeout', None)
     slow_down(scenario, share=0.7, factor=12, length=SPAN)
     return ms(6500)
 
@@ -158,7 +158,7 @@
 def cold_crowd(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All endpoints of a service go; one comes back cold and the rest later, under many requests."""
     service = scenario.rng.choice(sorted(terms.SERVICES))
-    endpoints = scenario.deployment.of(service)
+    endpoints = scenario.deployment.running_endpoints(service)
     for endpoint in endpoints:
         endpoint.kill()
     for number, endpoint in enumerate(endpoints):
--- a/zinctrail/simulation/faults/open_operators.py
+++ b/zinctrail/simulation/faults/open_operators.py
@@ -194,7 +194,7 @@
     scenario.deployment.operator.change(sets, length=ms(5000), body=body)
     for change in changes[before:]:
         change.is_invalid = True
-        change.order.is_invalid = True
+        change.command.is_invalid = True
 
 
 @fault
@@ -229,27 +229,27 @@
 @fault
 def evacuate(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A cell is evacuated, and its endpoints are cold when it is taken back."""
-    return _evacuate(scenario, becomes_cold=True)
+    return _evacuate(scenario, warms_up=True)
 
 
 @fault
 def evacuate_warm(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A cell is evacuated, and its endpoints are warm when it is taken back."""
-    return _evacuate(scenario, becomes_cold=False)
+    return _evacuate(scenario, warms_up=False)
 
 
-def _evacuate(scenario: 'open_days.Scenario', becomes_cold: bool) -> datetime.timedelta:
+def _evacuate(scenario: 'open_days.Scenario', warms_up: bool) -> datetime.timedelta:
     """Evacuate a random zone, and take it back nine seconds later."""
     cell = scenario.rng.choice(scenario.deployment.cells)
     scenario.deployment.operator.evacuate(cell)
 
     def take_back() -> None:
         """Take the zone back, its endpoints cold if they are to be."""
-        if becomes_cold:
+        if warms_up:
             # Some time before, since they have had nothing to do by then.
             for endpoint in scenario.deployment.endpoints:
                 if endpoint.up and endpoint.cell == cell:
-                    endpoint.become_cold()
+                    endpoint.start_warm_up()
         scenario.later(ms(scenario.rng.choice((100, 1000))), scenario.deployment.operator.evacuate, cell, False)
 
     scenario.later(ms(9000), take_back)
--- a/zinctrail/simulation/faults/open_unhealthy_endpoints.py
+++ b/zinctrail/simulation/faults/open_unhealthy_endpoints.py
@@ -88,7 +88,7 @@
 def srv_crash_all(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All endpoints of a service are down."""
     service = scenario.rng.choice(sorted(terms.SERVICES))
-    for endpoint in scenario.deployment.of(service):
+    for endpoint in scenario.deployment.running_endpoints(service):
         endpoint.kill()
         scenario.later(ms(4500), endpoint.start)
     return ms(5000)
--- a/zinctrail/simulation/open_actors/application.py
+++ b/zinctrail/simulation/open_actors/application.py
@@ -17,7 +17,7 @@
 
 LOCKS = 2
 LEASES_MS = (400, 1500, 3000)
-FINAL = (200, 400, 404, 409, 410)
+FINAL_STATUSES = (200, 400, 404, 409, 410)
 CALL_LENGTH = ms(3000)
 CALL_TIMEOUT = ms(1000)
 WATCH_WAIT_MS = 1500
@@ -67,11 +67,11 @@
         def on_response(response: 'open_deployment.Response') -> None:
             """Report a success to the deployment, and fire with the response."""
             if response.status == 200:
-                self.deployment.work_accepted(response.node)
+                self.deployment.report_call_accepted(response.node)
             deferred.callback(response)
 
         wait = CALL_TIMEOUT + ms(body.get('wait_ms', 0))
-        self.deployment.ask(self.name, 'POST', path, lambda: body, on_response, length, final=FINAL, wait=wait)
+        self.deployment.ask(self.name, 'POST', path, lambda: body, on_response, length, final=FINAL_STATUSES, wait=wait)
         return deferred
 
     # -- locks ----------------------------------------------------------------
@@ -153,7 +153,7 @@
 
     def random_cell(self) -> str:
         """Return the name of a random coordination cell."""
-        return f'g{self.rng.randrange(terms.GROUPS)}.{self.rng.randrange(terms.CELLS_A_GROUP)}'
+        return f'g{self.rng.randrange(terms.GROUPS)}.{self.rng.randrange(terms.CELLS_PER_GROUP)}'
 
     @defer.inlineCallbacks
     def put_cells(self) -> typing.Generator[typing.Any, typing.Any, None]:
--- a/zinctrail/simulation/open_actors/client.py
+++ b/zinctrail/simulation/open_actors/client.py
@@ -30,7 +30,7 @@
 class Lookup:
     """A cached lookup of one host: ingress addresses, when they expire, and whether a new lookup is under way."""
 
-    fronts: list[str] = dataclasses.field(default_factory=list)
+    ingresses: list[str] = dataclasses.field(default_factory=list)
     valid_until: datetime.timedelta = durations.ZERO
     is_asking: bool = False
 
@@ -56,10 +56,10 @@
         self.lookups: dict[str, Lookup] = {}
         self.avoided_until: dict[str, datetime.timedelta] = {}
         # Extra retries sent immediately for each failed request, in breach of the protocol's rules.
-        self.extra_repeats = 0
+        self.extra_retries = 0
         # Upper bound of the random time after which the client abandons a request without a response; None if it waits
         # until the request's deadline.
-        self.patience: datetime.timedelta | None = None
+        self.abandon_timeout: datetime.timedelta | None = None
         self.sent = 0
         self.on = False
         self.world.cells[name] = cell
@@ -85,7 +85,7 @@
             """Store the lookup response, or retry at another control node."""
             if result.status == 200:
                 document = json.loads(result.body)
-                lookup.fronts = document['proxies']
+                lookup.ingresses = document['proxies']
                 lookup.is_asking = False
                 self.avoided_until = {}
                 valid = min(ms(document['ttl_ms']), MAX_LOOKUP_VALIDITY)
@@ -131,39 +131,41 @@
         lookup = self.lookups.setdefault(request.host, Lookup())
         if world.now >= lookup.valid_until and not lookup.is_asking:
             self.look_up(request.host)
-        usable = [front for front in lookup.fronts if self.avoided_until.get(front, durations.ZERO) <= world.now]
-        fronts = usable or lookup.fronts
-        if not fronts:
+        usable = [
+            ingress for ingress in lookup.ingresses if self.avoided_until.get(ingress, durations.ZERO) <= world.now
+        ]
+        ingresses = usable or lookup.ingresses
+        if not ingresses:
             return
-        front = self.rng.choice(fronts)
-        node = world.by_http.get(front)
+        ingress = self.rng.choice(ingresses)
+        node = world.by_http.get(ingress)
         request_id = f'{self.rng.getrandbits(64):016x}'
         attempt = open_records.Attempt(
             id=request_id,
             request=request,
-            front=node.name if node else front,
-            front_incarnation=node.incarnation if node else 0,
+            proxy=node.name if node else ingress,
+            proxy_incarnation=node.incarnation if node else 0,
             sent_at=world.now,
         )
         self.deployment.records.attempts.append(attempt)
-        self.deployment.by_id[request_id] = attempt
+        self.deployment.attempts_by_id[request_id] = attempt
         wait = request.until - world.now
         headers = {
             'host': request.host,
             'zt-id': request_id,
             'zt-left-ms': str(max(1, durations.to_ms(wait))),
         }
-        if self.patience is not None:
-            wait = min(wait, self.patience * self.rng.random())
-        deferred = world.fetch(self.name, front, request.method, request.path, headers, request.body, wait)
-        deferred.addCallback(self.on_response, request, attempt, front, retries)
+        if self.abandon_timeout is not None:
+            wait = min(wait, self.abandon_timeout * self.rng.random())
+        deferred = world.fetch(self.name, ingress, request.method, request.path, headers, request.body, wait)
+        deferred.addCallback(self.on_response, request, attempt, ingress, retries)
 
     def on_response(
         self,
         result: effects.HttpResult,
         request: open_records.Request,
         attempt: open_records.Attempt,
-        front: str,
+        ingress: str,
         retries: int,
     ) -> None:
         """Record the response to an attempt, and retry where that is allowed."""
@@ -171,22 +173,22 @@
         attempt.status = result.status
         attempt.fault = result.fault
         attempt.headers = result.headers
-        attempt.answer_body = result.body
+        attempt.response_body = result.body
         attempt.was_sent = result.sent
         if result.fault == 'late' and self.world.now < request.until:
-            attempt.left_at = self.world.now
+            attempt.abandoned_at = self.world.now
             return
         if not result.sent or result.fault == 'connection lost':
-            self.avoided_until[front] = self.world.now + INGRESS_AVOIDANCE
+            self.avoided_until[ingress] = self.world.now + INGRESS_AVOIDANCE
         if self.may_retry(request, attempt, retries):
             self.retry(request, attempt, retries)
 
     def may_retry(self, request: open_records.Request, attempt: open_records.Attempt, retries: int) -> bool:
         """True if PROTOCOL.md allows a client to retry after this response."""
-        is_answered = not attempt.fault
+        has_response = not attempt.fault
         status = attempt.status or 0
-        is_final = is_answered and (200 <= status < 300 or status in terms.FINAL)
-        has_not_run = not attempt.was_sent or (is_answered and status in terms.PROMISE)
+        is_final = has_response and (200 <= status < 300 or status in terms.FINAL_STATUSES)
+        has_not_run = not attempt.was_sent or (has_response and status in terms.NOT_RUN_STATUSES)
         if is_final or retries <= 0 or self.world.now >= request.until:
             return False
         return has_not_run or not request.runs_once
@@ -194,11 +196,11 @@
     def retry(self, request: open_records.Request, attempt: open_records.Attempt, retries: int) -> None:
         """Schedule the next attempt, and the extra retries of a client that abuses retries."""
         world = self.world
-        for _ in range(self.extra_repeats):
+        for _ in range(self.extra_retries):
             # An extra retry is not retried itself: each is a single immediate attempt.
             world.after(ms(self.rng.uniform(0, 50)), self.attempt, request, 0)
         wait = ms(self.rng.uniform(1, 30))
         retry_after = attempt.headers.get('retry-after')
-        if retry_after and not self.extra_repeats:
+        if retry_after and not self.extra_retries:
             wait = max(wait, min(ms(1000 * float(retry_after)), (request.until - world.now) / 3))
         world.after(wait, self.attempt, request, retries - 1)
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -24,7 +24,7 @@
 START_TIMEOUT = ms(60000)
 CONFIGURATION_TIMEOUT = ms(30000)
 CALL_TIMEOUT = ms(1000)
-FINAL = (200, 400, 404, 405, 409, 410, 413, 422)
+FINAL_STATUSES = (200, 400, 404, 405, 409, 410, 413, 422)
 CLIENTS_PER_ZONE = 3
 # Each zone's clients use a lookup response for this multiple of its validity: one of three keeps it too long.
 CLIENT_VALIDITY_FACTORS = (1, 1, 3)
@@ -56,29 +56,29 @@
         self.clients: list[open_client.Client] = []
         self.applications: list[open_application.Application] = []
         # The clients' attempts by request id.
-        self.by_id: dict[str | None, open_records.Attempt] = {}
+        self.attempts_by_id: dict[str | None, open_records.Attempt] = {}
         # Called with the name of a node that acknowledged an operator's command, or an application's call.
         self.on_acknowledged: typing.Callable[[str], typing.Any] | None = None
-        self.on_work_accepted: typing.Callable[[str], typing.Any] | None = None
+        self.on_call_accepted: typing.Callable[[str], typing.Any] | None = None
         self.version = 3
         # The rules that clients send requests for, by name.
         self.rules: dict[str, dict] = {}
         for role, count in (('core', shape['cores']), ('prox', shape['proxies'])):
             for number in range(count):
                 name = f'{role}{number}'
-                cell = self.cell_number(number)
+                cell = self.zone_at(number)
                 world.add(name, role, cell, front=role == 'prox', directory=role == 'core')
         self.seeds = [world.nodes[f'core{i}'].location.addr for i in range(3)]
         for node in world.nodes.values():
             node.location.seeds = list(self.seeds)
         # The names of the control nodes that callers know of.
-        self.listed: list[str] = []
+        self.known_control_nodes: list[str] = []
         for service in terms.SERVICES:
             for number in range(shape['ends']):
-                self.add_endpoint(service, self.cell_number(number))
+                self.add_endpoint(service, self.zone_at(number))
         self.operator = open_operator.Operator(self)
 
-    def cell_number(self, number: int) -> str:
+    def zone_at(self, number: int) -> str:
         """Return the name of the zone at an index; the index wraps around."""
         return self.cells[number % len(self.cells)]
 
@@ -94,7 +94,7 @@
         self.endpoints.append(endpoint)
         return endpoint
 
-    def of(self, service: str) -> list[open_endpoint.Endpoint]:
+    def running_endpoints(self, service: str) -> list[open_endpoint.Endpoint]:
         """Return the endpoints of a service that are up."""
         return [endpoint for endpoint in self.endpoints if endpoint.service == service and endpoint.up]
 
@@ -103,7 +103,7 @@
     def refresh_known_control_nodes(self) -> None:
         """Refresh, every 500 ms, the control nodes that callers know of; callers see each change `seed_lag` later."""
         names = [node.name for node in self.world.of('core') if node.up]
-        self.world.after(terms.TERMS.seed_lag, setattr, self, 'listed', names)
+        self.world.after(terms.TERMS.seed_lag, setattr, self, 'known_control_nodes', names)
         self.world.after(ms(500), self.refresh_known_control_nodes)
 
     def ask(
@@ -114,7 +114,7 @@
         body: typing.Callable[[], bytes | dict | None],
         callback: typing.Callable[[Response], typing.Any],
         length: datetime.timedelta,
-        final: tuple[int, ...] = FINAL,
+        final: tuple[int, ...] = FINAL_STATUSES,
         wait: datetime.timedelta = CALL_TIMEOUT,
     ) -> None:
         """Send a call to random control nodes until it has a conclusive response or `length` has passed.
@@ -129,7 +129,9 @@
 
         def attempt() -> None:
             """Send the call to a random one of the control nodes that callers know of."""
-            names = [name for name in self.listed if name in world.nodes] or [node.name for node in world.of('core')]
+            names = [name for name in self.known_control_nodes if name in world.nodes] or [
+                node.name for node in world.of('core')
+            ]
             node = world.nodes[world.rng.choice(names)]
             made = body()
             raw = made if isinstance(made, bytes) else json.dumps(made).encode() if made is not None else b''
@@ -152,15 +154,15 @@
 
         attempt()
 
-    def acknowledged(self, node: str) -> None:
+    def report_acknowledged(self, node: str) -> None:
         """Report that a node acknowledged a command."""
         if self.on_acknowledged:
             self.on_acknowledged(node)
 
-    def work_accepted(self, node: str) -> None:
+    def report_call_accepted(self, node: str) -> None:
         """Report that a node responded to an application's call with success."""
-        if self.on_work_accepted:
-            self.on_work_accepted(node)
+        if self.on_call_accepted:
+            self.on_call_accepted(node)
 
     # -- configuration --------------------------------------------------------------
 
@@ -177,8 +179,8 @@
                 'name': name,
                 'health': '/health',
                 'connections': 100,
-                'cold_s': terms.COLD_S,
-                'cold_per_s': terms.COLD_PER_S,
+                'cold_s': terms.WARM_UP_S,
+                'cold_per_s': terms.WARM_UP_RATE,
                 'version': version,
             }
             for name in terms.SERVICES
@@ -277,16 +279,14 @@
         count = len(self.cells) * CLIENTS_PER_ZONE
         for number in range(count):
             validity_factor = CLIENT_VALIDITY_FACTORS[number // len(self.cells)]
-            client = open_client.Client(
-                self, f'client{number}', self.cell_number(number), rate / count, validity_factor
-            )
+            client = open_client.Client(self, f'client{number}', self.zone_at(number), rate / count, validity_factor)
             self.clients.append(client)
             client.start()
 
     def start_applications(self, count: int = 3) -> None:
         """Start applications, spread over the zones."""
         for number in range(count):
-            application = open_application.Application(self, f'app{number}', self.cell_number(number))
+            application = open_application.Application(self, f'app{number}', self.zone_at(number))
             self.applications.append(application)
             application.start()
 
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -93,15 +93,15 @@
         self.work: dict[str | None, open_records.Work] = {}
         self.warm_up_ends_at = self.world.now
         if cold:
-            self.become_cold()
+            self.start_warm_up()
         self.world.endpoints[self.address] = self
         self.send_heartbeat(self.incarnation)
 
-    def become_cold(self) -> None:
-        """Begin a warm-up of COLD_S seconds."""
-        self.warm_up_ends_at = self.world.now + ms(1000 * terms.COLD_S)
-        self.deployment.records.cold_spans.append(
-            open_records.ColdSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
+    def start_warm_up(self) -> None:
+        """Begin a warm-up of WARM_UP_S seconds."""
+        self.warm_up_ends_at = self.world.now + ms(1000 * terms.WARM_UP_S)
+        self.deployment.records.warm_up_spans.append(
+            open_records.WarmUpSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
         )
 
     def kill(self, dark: bool = False) -> None:
@@ -112,7 +112,7 @@
         self.incarnation += 1
         if self.world.endpoints.get(self.address) is self:
             del self.world.endpoints[self.address]
-        self.deployment.records.broke.update(self.open)
+        self.deployment.records.endpoint_failures.update(self.open)
         for work in self.work.values():
             work.ended_at = self.world.now
         for callback in list(self.open.values()):
@@ -156,13 +156,13 @@
         incarnation_id = self.incarnation_id
         world = self.world
         records = self.deployment.records
-        order = open_records.Order('drain', size=0, sent_at=world.now)
-        records.orders.append(order)
+        command = open_records.Command('drain', size=0, sent_at=world.now)
+        records.commands.append(command)
 
         def on_drain_response(response: 'open_deployment.Response') -> None:
             """Record the response; deregister after the bound on late requests, or soon if draining was refused."""
-            order.responded_at = world.now
-            order.status = response.status
+            command.responded_at = world.now
+            command.status = response.status
             if incarnation != self.incarnation:
                 return
             if response.status == 200:
@@ -209,7 +209,7 @@
             at=self.world.now,
             id=headers.get('zt-id'),
             incarnation=self.incarnation_id,
-            meant_for=headers.get('zt-inc'),
+            target_incarnation=headers.get('zt-inc'),
             service=self.service,
             cell=self.cell,
             method=call.method,
@@ -271,10 +271,10 @@
         """Return the headers of a response: the request id, a stamp, and the load."""
         return {'zt-id': request_id, 'zt-stamp': f'{request_id}.{self.incarnation_id}', 'zt-load': self.load()}
 
-    def note_answer(self, request_id: str, status: int, body: bytes) -> None:
+    def record_response(self, request_id: str, status: int, body: bytes) -> None:
         """Record the response to a request."""
-        given = open_records.GivenAnswer(status, body, self.world.now)
-        self.deployment.records.given_answers.setdefault(request_id, []).append(given)
+        given = open_records.SentResponse(status, body, self.world.now)
+        self.deployment.records.sent_responses.setdefault(request_id, []).append(given)
 
     # -- work -----------------------------------------------------------------------
 
@@ -310,7 +310,7 @@
         status = 504 if is_late else world.rng.choices((200, 500), (99.5, 0.5))[0]
         body = json.dumps({'id': request_id, 'by': self.incarnation_id, 'n': world.rng.getrandbits(32)}).encode()
         headers = self.response_headers(request_id)
-        self.note_answer(request_id, status, body)
+        self.record_response(request_id, status, body)
         if self.state != 'ready':
             headers['connection'] = 'close'
         callback(self.damage(request_id, effects.HttpResult(status, headers, body)))
@@ -319,18 +319,18 @@
     def damage(self, request_id: str, result: effects.HttpResult) -> effects.HttpResult:
         """Return a response as the proxy receives it: unchanged, or damaged as the probabilities have it."""
         now = self.world.now
-        broke = self.deployment.records.broke
+        endpoint_failures = self.deployment.records.endpoint_failures
         draw = self.world.rng.random()
         lost_below = self.loss_chance
         truncated_below = lost_below + self.truncation_chance
         malformed_below = truncated_below + self.malformed_chance
         if draw < malformed_below:
-            broke.add(request_id)
+            endpoint_failures.add(request_id)
         if self.duplicate is not None and now - self.duplicate[1] < MAX_DUPLICATE_AGE:
             # An earlier response is sent a second time in place of this one.
             duplicate = self.duplicate[0]
             self.duplicate = None
-            broke.add(request_id)
+            endpoint_failures.add(request_id)
             return duplicate
         if draw < lost_below:
             return effects.HttpResult(fault='connection lost')
@@ -361,7 +361,7 @@
         request_id = arrival.id
         self.deployment.records.runs.append(arrival)
         body = json.dumps({'id': request_id, 'by': self.incarnation_id, 'error': True}).encode()
-        self.note_answer(request_id, 500, body)
+        self.record_response(request_id, 500, body)
         callback(effects.HttpResult(500, self.response_headers(request_id), body))
 
     def fail_by_shed(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
@@ -375,15 +375,15 @@
     def fail_by_hang(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request runs and never gets a response."""
         self.deployment.records.runs.append(arrival)
-        self.deployment.records.broke.add(arrival.id)
+        self.deployment.records.endpoint_failures.add(arrival.id)
 
     def fail_by_mute(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and never gets a response."""
-        self.deployment.records.broke.add(arrival.id)
+        self.deployment.records.endpoint_failures.add(arrival.id)
 
     def fail_by_reset(self, arrival: open_records.Arrival, headers: dict[str, str], callback: typing.Callable) -> None:
         """The request does not run and its connection is reset."""
-        self.deployment.records.broke.add(arrival.id)
+        self.deployment.records.endpoint_failures.add(arrival.id)
         callback(effects.HttpResult(fault='connection lost'))
 
 
--- a/zinctrail/simulation/open_actors/operator.py
+++ b/zinctrail/simulation/open_actors/operator.py
@@ -31,11 +31,11 @@
         self.world = deployment.world
         self.name = name
 
-    def new_order(self, what: str, size: int = 1) -> open_records.Order:
+    def record_command(self, what: str, size: int = 1) -> open_records.Command:
         """Record a command that is sent now."""
-        order = open_records.Order(what, size, sent_at=self.world.now)
-        self.deployment.records.orders.append(order)
-        return order
+        command = open_records.Command(what, size, sent_at=self.world.now)
+        self.deployment.records.commands.append(command)
+        return command
 
     def change(
         self,
@@ -52,22 +52,22 @@
         :param body: sent in place of the document, by a fault that damages it.
         """
         document = {'set': copy.deepcopy(sets or {}), 'drop': copy.deepcopy(drops or {})}
-        order = self.new_order('change')
-        changes = changes_of(document, order)
-        order.size = len(changes)
+        command = self.record_command('change')
+        changes = changes_of(document, command)
+        command.size = len(changes)
         self.deployment.records.changes += changes
         raw = body if body is not None else json.dumps(document).encode()
 
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the status of the command and of each item in it."""
-            order.responded_at = self.world.now
-            order.status = response.status
+            command.responded_at = self.world.now
+            command.status = response.status
             for change in changes:
                 change.responded_at = self.world.now
                 change.status = response.status
             callback(response.status)
             if response.status == 200:
-                self.deployment.acknowledged(response.node)
+                self.deployment.report_acknowledged(response.node)
 
         self.deployment.ask(self.name, 'PATCH', '/v1/items', lambda: raw, on_response, length, final=CHANGE_FINAL)
 
@@ -75,15 +75,15 @@
         """Evacuate a zone, or end its evacuation."""
         evacuation = open_records.Evacuation(cell, is_evacuated, sent_at=self.world.now)
         self.deployment.records.evacuations.append(evacuation)
-        order = self.new_order(f'empty {cell} {is_evacuated}')
+        command = self.record_command(f'empty {cell} {is_evacuated}')
 
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the status, and the evacuation once it is acknowledged."""
-            order.responded_at = self.world.now
-            order.status = response.status
+            command.responded_at = self.world.now
+            command.status = response.status
             if response.status == 200:
                 evacuation.acknowledged_at = self.world.now
-                self.deployment.acknowledged(response.node)
+                self.deployment.report_acknowledged(response.node)
 
         self.deployment.ask(
             self.name,
@@ -109,12 +109,12 @@
         self.deployment.ask(self.name, 'GET', '/v1/items', lambda: None, on_response, length)
 
 
-def changes_of(document: dict, order: open_records.Order) -> list[open_records.Change]:
+def changes_of(document: dict, command: open_records.Command) -> list[open_records.Change]:
     """Return the change of each item that a document sets or drops, as parts of one command."""
     changes = []
     for part in ('rules', 'pools'):
         for row in document['set'].get(part, ()):
-            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], row, order.sent_at, order))
+            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], row, command.sent_at, command))
         for row in document['drop'].get(part, ()):
-            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], None, order.sent_at, order))
+            changes.append(open_records.Change(f'{part}/{row["name"]}', row['version'], None, command.sent_at, command))
     return changes
--- a/zinctrail/simulation/open_actors/records.py
+++ b/zinctrail/simulation/open_actors/records.py
@@ -36,27 +36,27 @@
 
     id: str
     request: Request
-    front: str
+    proxy: str
     # The incarnation count of the proxy process behind the ingress.
-    front_incarnation: int
+    proxy_incarnation: int
     sent_at: Time
     responded_at: Time | None = None
     status: int | None = None
     fault: str | None = None
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
-    answer_body: bytes = b''
+    response_body: bytes = b''
     # Whether any of it may have reached the ingress.
     was_sent: bool | None = None
     # When the client abandoned it before its deadline and closed the connection.
-    left_at: Time | None = None
+    abandoned_at: Time | None = None
 
-    def is_answered(self) -> bool:
+    def has_response(self) -> bool:
         """True if a complete response arrived."""
         return self.responded_at is not None and not self.fault and bool(self.status)
 
     def is_success(self) -> bool:
         """True if a complete response with a 2xx status arrived."""
-        return self.is_answered() and 200 <= (self.status or 0) < 300
+        return self.has_response() and 200 <= (self.status or 0) < 300
 
 
 @dataclasses.dataclass(slots=True)
@@ -67,7 +67,7 @@
     id: str | None
     # The incarnation that it reached, and the one that it was addressed to.
     incarnation: str
-    meant_for: str | None
+    target_incarnation: str | None
     service: str
     cell: str
     method: str
@@ -88,7 +88,7 @@
     ended_at: Time | None = None
 
 
-class GivenAnswer(typing.NamedTuple):
+class SentResponse(typing.NamedTuple):
     """A response that an endpoint sent to a request that ran."""
 
     status: int
@@ -105,7 +105,7 @@
     state: str
 
 
-class ColdSpan(typing.NamedTuple):
+class WarmUpSpan(typing.NamedTuple):
     """The span in which an incarnation was warming up."""
 
     begins_at: Time
@@ -114,7 +114,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Order:
+class Command:
     """A command of an operator or of a draining endpoint, retried until it has a conclusive response."""
 
     what: str
@@ -135,7 +135,7 @@
     # The item's new content; None if it is dropped.
     row: dict | None
     sent_at: Time
-    order: Order
+    command: Command
     responded_at: Time | None = None
     status: int | None = None
     is_invalid: bool = False
@@ -235,11 +235,11 @@
     ends_at: Time | None = None
 
 
-class Closing(typing.NamedTuple):
+class ClosingFault(typing.NamedTuple):
     """A closing fault: when it began, and when every process was up again."""
 
-    struck_at: Time
-    back_at: Time
+    began_at: Time
+    recovered_at: Time
     fault: str
 
 
@@ -253,25 +253,25 @@
         self.runs: list[Arrival] = []
         self.work: list[Work] = []
         # The responses that endpoints sent, by the id of the attempt.
-        self.given_answers: dict[str, list[GivenAnswer]] = {}
+        self.sent_responses: dict[str, list[SentResponse]] = {}
         self.states: list[StateChange] = []
         # The ids of attempts whose endpoint crashed, did not respond, or damaged its response.
-        self.broke: set[str | None] = set()
-        self.cold_spans: list[ColdSpan] = []
+        self.endpoint_failures: set[str | None] = set()
+        self.warm_up_spans: list[WarmUpSpan] = []
         self.changes: list[Change] = []
         self.reads: list[Read] = []
         self.evacuations: list[Evacuation] = []
-        self.orders: list[Order] = []
+        self.commands: list[Command] = []
         self.locks: list[LockBelief] = []
         self.numbers: list[Number] = []
         self.puts: list[Put] = []
         self.gets: list[Get] = []
         self.watches: list[Watch] = []
-        self.closings: list[Closing] = []
+        self.closing_faults: list[ClosingFault] = []
         self.cuts: list[Cut] = []
         # Spans in which frames are lost.
         self.lossy: list[Span] = []
         # Spans in which acknowledgements to operators are lost in transit.
         self.ack_losses: list[Span] = []
         # The ids of attempts sent to an endpoint that was cut off, which the proxy could not know.
-        self.swallowed: set[str | None] = set()
+        self.sent_while_cut_off: set[str | None] = set()
--- a/zinctrail/simulation/open_actors/terms.py
+++ b/zinctrail/simulation/open_actors/terms.py
@@ -32,9 +32,9 @@
     # How far back a watch may start.
     history: datetime.timedelta = ms(20000)
     # How long endpoints may continue to work for a client that has closed its connection.
-    left: datetime.timedelta = ms(500)
+    abandoned_work: datetime.timedelta = ms(500)
     # How long after a fault in their region clients may be directed to other regions.
-    calm: datetime.timedelta = ms(15000)
+    region_recovery: datetime.timedelta = ms(15000)
     # The minimum time before an address may be reused by another endpoint.
     reuse: datetime.timedelta = ms(2000)
     # How long a command may stay without an acknowledgement.
@@ -44,8 +44,8 @@
     repeat_slack: int = 20
     repeat_window: datetime.timedelta = ms(10000)
     # The limit on requests per second to an endpoint that is warming up: a multiple of its warm-up rate, plus a fixed number.
-    cold_ratio: float = 1.5
-    cold_slack: int = 5
+    warm_up_ratio: float = 1.5
+    warm_up_slack: int = 5
 
 
 TERMS = Terms()
@@ -84,20 +84,20 @@
     'holds': Service(True, 80, 500, 1200, False),
 }
 # The requests per second that an endpoint can serve while warming up, and the length of the warm-up.
-COLD_PER_S = 5.0
-COLD_S = 3.0
+WARM_UP_RATE = 5.0
+WARM_UP_S = 3.0
 # The number of groups and of cells per group that applications use; the cells are named g<group>.<cell>.
 GROUPS = 2
-CELLS_A_GROUP = 3
+CELLS_PER_GROUP = 3
 # The added one-way latency between regions, and between zones of a region.
 REGION_MS = 20
 ZONE_MS = 1
 # How long a draining endpoint serves after its drain time: long enough to observe late requests.
 AFTER_DRAIN = ms(800)
 # Statuses after which a client does not retry.
-FINAL = (400, 401, 404, 413, 431)
+FINAL_STATUSES = (400, 401, 404, 413, 431)
 # Statuses that promise that the request has not run.
-PROMISE = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def bound(shape: Shape) -> settings.Settings:
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -24,8 +24,8 @@
 
     callers_hang_up = True
     # The timeout on a connection to a silent endpoint, and how long an idle connection is kept open.
-    SILENT = ms(1500)
-    IDLE = ms(4000)
+    SILENT_CONNECTION_TIMEOUT = ms(1500)
+    IDLE_CONNECTION_LIMIT = ms(4000)
 
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
@@ -72,14 +72,19 @@
             connection is not None
             and connection[0] is endpoint
             and connection[1] == endpoint.incarnation
-            and self.now - connection[2] < self.IDLE
+            and self.now - connection[2] < self.IDLE_CONNECTION_LIMIT
         )
         if endpoint is not None and self.is_cut(caller, endpoint.name):
-            self.records.swallowed.add(effect.headers.get('zt-id'))
+            self.records.sent_while_cut_off.add(effect.headers.get('zt-id'))
         if is_kept and self.is_cut(caller, endpoint.name):
             deferred: defer.Deferred = defer.Deferred()
             # The request counts as sent: the connection was open, and the fate of the bytes is unknown.
-            self.after(min(effect.wait, self.SILENT), network.settle, deferred, effects.HttpResult(fault='silent'))
+            self.after(
+                min(effect.wait, self.SILENT_CONNECTION_TIMEOUT),
+                network.settle,
+                deferred,
+                effects.HttpResult(fault='silent'),
+            )
             return deferred
         if is_kept and endpoint.idle_limit is not None and self.now - connection[2] > endpoint.idle_limit:
             return self.reset_by_endpoint(caller, effect, endpoint)
@@ -100,7 +105,7 @@
     ) -> defer.Deferred:
         """Fail a request on a connection that the endpoint dropped without notice; the endpoint never sees the request."""
         del self.connections[caller, effect.incarnation]
-        self.records.broke.add(effect.headers.get('zt-id'))
+        self.records.endpoint_failures.add(effect.headers.get('zt-id'))
         deferred: defer.Deferred = defer.Deferred()
         # The request counts as sent, since the bytes went out: a reset does not tell whether they were read.
         lost = effects.HttpResult(fault='connection lost')
@@ -112,7 +117,7 @@
         super().reset(node, share)
         for endpoint in list(self.endpoints.values()):
             for request_id, callback in list(endpoint.open.items()):
-                front = endpoint.deployment.by_id[request_id].front
-                if front == node.name and self.rng.random() < share:
-                    self.records.broke.add(request_id)
+                proxy = endpoint.deployment.attempts_by_id[request_id].proxy
+                if proxy == node.name and self.rng.random() < share:
+                    self.records.endpoint_failures.add(request_id)
                     callback(effects.HttpResult(fault='connection lost'))
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -106,7 +106,7 @@
         self.deployment.operator.read()
         for application in self.deployment.applications:
             for group in range(terms.GROUPS):
-                for cell in range(terms.CELLS_A_GROUP):
+                for cell in range(terms.CELLS_PER_GROUP):
                     application.get(f'g{group}.{cell}')
         self.world.run(ms(9000))
 
@@ -129,7 +129,7 @@
             self.miss(name)
             return
         world.run(ms(4000))
-        self.deployment.records.closings.append(open_records.Closing(struck_at[0], world.now, name))
+        self.deployment.records.closing_faults.append(open_records.ClosingFault(struck_at[0], world.now, name))
         world.run(ms(22000))
 
     def verdicts(self, only: str | None = None) -> list[str]:
@@ -150,7 +150,7 @@
     def sample_of_a_service(self, share: float = 0.3) -> list[open_endpoint.Endpoint]:
         """A random share of a random service's endpoints."""
         service = self.rng.choice(sorted(terms.SERVICES))
-        return self.sample(self.deployment.of(service), share)
+        return self.sample(self.deployment.running_endpoints(service), share)
 
     def random_rule(self) -> dict:
         """A random rule that clients send requests for."""
