--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -242,7 +242,7 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.days as days
 scenario = days.Scenario(int(sys.argv[1]), sys.argv[2].split(','), length=durations.ms(10000)).run()
-records = scenario.world.lines, scenario.world.inputs, scenario.deployment.records.replies
+records = scenario.world.lines, scenario.world.inputs, scenario.deployment.records.responses
 print(hashlib.sha256(repr(records).encode()).hexdigest())
 """
 
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -121,7 +121,7 @@
 @behave.when('a claimed request is refused by its endpoint with {left:d} ms left and every core dies')
 def claimed_request_is_refused(context, left: int):
     for endpoint in context.deployment.endpoints:
-        endpoint.refuses, endpoint.work_ms = True, (300, 300)
+        endpoint.refuses_all, endpoint.work_ms = True, (300, 300)
     context.deployment.stop_load(ms(1500))
     _, context.response = send_request(context, context.world.of('prox')[0], left)
     context.world.run(ms(150))
--- a/zinctrail/fleet/replay_simulated.py
+++ b/zinctrail/fleet/replay_simulated.py
@@ -39,7 +39,7 @@
             world.at(began + ms(event['at_ms'] / speed), getattr(self, 'do_' + event['do']), event)
         world.run(ms((events[-1]['at_ms'] if events else 0) / speed + END_MS))
         waits = histogram.latency_histogram(
-            response.responded_at - response.sent_at for response in deployment.records.replies
+            response.responded_at - response.sent_at for response in deployment.records.responses
         )
         figures = {'outcomes': deployment.tally(), 'calls': self.counts, 'waits_ms': histogram.spread(waits)}
         return replay_events.Report(figures, checks.run(deployment))
--- a/zinctrail/simulation/actors/__init__.py
+++ b/zinctrail/simulation/actors/__init__.py
@@ -1,5 +1,5 @@
-"""Who uses the system on days of the client library: endpoints, callers, operators, applications.
+"""Users of the system through the client library: endpoints, callers, operators and applications.
 
-Each notes only what it did and saw itself; simulation.checks judges from those
-notes.
+Each actor records only what it did and observed itself; simulation.checks judges
+a scenario by these records.
 """
--- a/zinctrail/simulation/actors/application.py
+++ b/zinctrail/simulation/actors/application.py
@@ -23,15 +23,15 @@
 KEYS = 3
 WATCH_WAIT = ms(2000)
 RETRY_AFTER = ms(200)
-# How long an application waits before it watches on, in ms: sometimes long, since history must reach back for 20 s.
+# Pauses before the next watch, in ms. The long one checks that the history of events reaches back for 20 s.
 WATCH_PAUSES_MS = (0, 0, 500, 18000)
 
 
 class Application:
-    """Works in five loops at once until it is switched off.
+    """Runs five concurrent loops of calls until it is switched off.
 
-    :param every: the mean pause of each loop.
-    :param lease: how long it takes locks for.
+    :param every: the mean pause between two iterations of each loop.
+    :param lease: the lease duration of its locks.
     """
 
     def __init__(
@@ -52,25 +52,25 @@
         fetcher = caller_actor.WorldFetcher(deployment, name)
         self.library = coordination.CoordinationClient(self.world, directories, fetcher, self.world.seconds, self.rng)
         self.lease = lease
-        # Values it has written, so that each is another.
+        # The number of values written so far; it makes each value unique.
         self.written = 0
         self.on = False
 
     def start(self) -> None:
-        """Begin all five loops; each ends once the application is switched off."""
+        """Start all five loops; each ends once the application is switched off."""
         self.on = True
         for loop in (self.use_locks, self.take_numbers, self.write_keys, self.read_keys, self.watch_keys):
             loop().addErrback(lambda reason: reason.trap(GeneratorExit))
 
     def pause(self) -> defer.Deferred:
-        """A Deferred that fires after a random pause around the mean."""
+        """Return a Deferred that fires after a random pause around the mean."""
         return self.library.sleep(self.every * self.rng.uniform(0.5, 1.5))
 
     # -- locks ----------------------------------------------------------------
 
     @defer.inlineCallbacks
     def use_locks(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take a lock, renew it a few times, and release it or let it lapse."""
+        """Acquire locks in a loop; renew each a few times, then release it or let its lease expire."""
         while self.on:
             lock = self.library.lock(f'lock{self.rng.randrange(LOCKS)}', self.name, self.lease)
             with contextlib.suppress(errors.CoordinationError):
@@ -79,32 +79,32 @@
 
     @defer.inlineCallbacks
     def use_lock(self, lock: coordination.Lock) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take one lock, renew it, and let it go."""
+        """Acquire a lock, renew it up to three times, then release it or let its lease expire."""
         is_mine = yield lock.acquire()
         for _ in range(self.rng.randrange(4)):
             if is_mine:
                 yield self.library.sleep(self.lease / 3)
-                self.believe(lock)
+                self.record_belief(lock)
                 is_mine = yield lock.acquire()
                 if not is_mine:
                     self.stop_believing(lock)
         if is_mine:
-            self.believe(lock)
+            self.record_belief(lock)
             if self.rng.random() < 0.7:
                 self.stop_believing(lock)
                 yield lock.release()
             else:
                 yield self.library.sleep(self.lease)
 
-    def believe(self, lock: coordination.Lock) -> None:
-        """Note that it believes in the lock until its lease ends."""
+    def record_belief(self, lock: coordination.Lock) -> None:
+        """Record that the application believes that it holds the lock until its lease ends."""
         if lock.is_held():
             self.deployment.records.locks.append(
                 observations.LockBelief(lock.name, self.name, lock.fencing_token, self.world.now, lock.expires_at)
             )
 
     def stop_believing(self, lock: coordination.Lock) -> None:
-        """From now on it does not believe in what it took, renewals included."""
+        """End all spans in which the application believes that it holds the lock, renewals included."""
         for belief in self.deployment.records.locks:
             if belief.name == lock.name and belief.holder == self.name:
                 belief.stop(self.world.now)
@@ -113,7 +113,7 @@
 
     @defer.inlineCallbacks
     def take_numbers(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take the next number, again and again."""
+        """Take the next number of the counter in a loop."""
         while self.on:
             operation = actor_records.Operation('next', 'orders', self.world.now)
             self.deployment.records.numbers.append(operation)
@@ -129,7 +129,7 @@
     def operate(
         self, kind: str, key: str, value: str | None = None, expected_revision: int | None = None
     ) -> typing.Generator[typing.Any, typing.Any, actor_records.Operation]:
-        """One operation on a key: a Deferred of it, with what is known of its result."""
+        """Perform one operation on a key; return a Deferred of its record, with the result as far as it is known."""
         operation = actor_records.Operation(kind, key, self.world.now, value=value, expected_revision=expected_revision)
         self.deployment.records.keys.append(operation)
         try:
@@ -152,7 +152,7 @@
 
     @defer.inlineCallbacks
     def write_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Put and remove keys, some of the writes on the revision that was just read."""
+        """Put and remove keys in a loop; some writes are conditional on the revision just read."""
         while self.on:
             key = f'k/{self.rng.randrange(KEYS)}'
             self.written += 1
@@ -168,14 +168,14 @@
 
     @defer.inlineCallbacks
     def read_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Read a random key, again and again."""
+        """Read random keys in a loop."""
         while self.on:
             yield self.operate('get', f'k/{self.rng.randrange(KEYS)}')
             yield self.pause()
 
     @defer.inlineCallbacks
     def watch_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Watch all keys, on and on from the last revision seen."""
+        """Watch all keys in a loop, each time from the last revision seen."""
         since = None
         since_at = None
         while self.on:
--- a/zinctrail/simulation/actors/caller.py
+++ b/zinctrail/simulation/actors/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends requests through the client library, and some by hand past it."""
+"""A caller that sends requests through the client library, and some directly over HTTP."""
 
 import datetime
 import random
@@ -17,16 +17,16 @@
 
 ms = durations.ms
 
-# How long a caller waits for a reply, and for one attempt that it makes by hand.
-USUAL_TIMEOUT = ms(5000)
+# The timeout of a request through the library, and of a single attempt over HTTP.
+DEFAULT_TIMEOUT = ms(5000)
 ATTEMPT_TIMEOUT = ms(2000)
-# How often a caller repeats by hand in a storm.
-STORM_REPEATS = 6
+# The number of direct retries of one request in a retry storm.
+STORM_RETRIES = 6
 REMOTE_DIRECTORIES = 3
 
 
 class WorldFetcher:
-    """Lets the client libraries fetch through the world's network.
+    """Sends the client libraries' calls through the simulated network.
 
     :param observer: called with (address, path, request headers, result) after each call.
     """
@@ -48,7 +48,7 @@
         body: bytes,
         wait: datetime.timedelta,
     ) -> defer.Deferred:
-        """As transport.web.Fetcher."""
+        """Fetch as transport.web.Fetcher does."""
         deferred = self.deployment.world.fetch(self.name, addr, method, path, headers, body, wait)
 
         def observe(result: effects.HttpResult) -> effects.HttpResult:
@@ -61,11 +61,11 @@
 
 
 class Caller:
-    """Sends requests through the client library, at a steady rate.
+    """Sends requests through the client library, at random intervals with a constant mean rate.
 
-    :param rate: requests a second.
-    :param storm: how often it repeats a request at once and often, past what the library would do.
-    :param wild: how often it ignores its answer and goes to any proxy.
+    :param rate: the mean number of requests per second.
+    :param storm: the probability that it retries a request at once and many times, beyond what the library does.
+    :param wild: the probability that it ignores the lookup response and sends the request to any proxy.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         services: list[str],
         rate: float,
         home: typing.Sequence[str] = (),
-        timeout: datetime.timedelta = USUAL_TIMEOUT,
+        timeout: datetime.timedelta = DEFAULT_TIMEOUT,
         storm: float = 0.0,
         wild: float = 0.0,
     ) -> None:
@@ -99,14 +99,14 @@
             near + far[:REMOTE_DIRECTORIES],
             cell,
             home,
-            fetcher=WorldFetcher(deployment, name, self.note_attempt),
+            fetcher=WorldFetcher(deployment, name, self.record_attempt),
             clock=self.world.seconds,
             rng=self.rng,
         )
         self.on = False
 
     def start(self) -> None:
-        """Send the first request within the mean time between two."""
+        """Send the first request after a random delay of at most the mean interval."""
         self.on = True
         self.world.after(ms(self.rng.uniform(0, 1000 / self.rate)), self.tick)
 
@@ -116,59 +116,59 @@
             return
         self.world.after(ms(self.rng.expovariate(self.rate / 1000)), self.tick)
         if self.rng.random() < self.wild_chance and self.library.lookup_result:
-            self.repeat(self.new_request_id(), self.rng.choice(self.services), 1, 1)
+            self.retry_directly(self.new_request_id(), self.rng.choice(self.services), 1, 1)
         else:
             self.send_one()
 
     def new_request_id(self) -> str:
-        """A request id as the library makes them, of the epoch that its lookup named."""
+        """Return a request id as the library makes them, with the epoch of its last lookup response."""
         lookup = self.library.lookup_result
         if lookup is None:
             raise LookupError(f'{self.name}: no lookup was answered yet')
         return f'{lookup["epoch"]}.{self.rng.getrandbits(80):020x}'
 
     def send_one(self, service: str | None = None, labels: dict[str, str] | None = None) -> defer.Deferred:
-        """Send a request through the library and note its reply."""
+        """Send a request through the library and record its response."""
         service = service or self.rng.choice(self.services)
         deferred = self.library.send(service, '/work', body=b'{}', labels=labels, timeout=self.timeout)
-        return deferred.addCallback(self.replied, service, self.world.now)
+        return deferred.addCallback(self.on_response, service, self.world.now)
 
-    def replied(
-        self, reply: request_client.Response, service: str, sent_at: datetime.timedelta
+    def on_response(
+        self, response: request_client.Response, service: str, sent_at: datetime.timedelta
     ) -> request_client.Response:
-        """Note a reply; in a storm, go on and repeat by hand."""
-        self.deployment.records.replies.append(
-            actor_records.Reply(
+        """Record a response; in a retry storm, start direct retries of the request."""
+        self.deployment.records.responses.append(
+            actor_records.Response(
                 sent_at=sent_at,
                 responded_at=self.world.now,
-                id=reply.id,
+                id=response.id,
                 service=service,
-                outcome=reply.outcome,
-                status=reply.status,
-                body=reply.body,
-                attempts=reply.attempts,
-                fault=reply.fault,
+                outcome=response.outcome,
+                status=response.status,
+                body=response.body,
+                attempts=response.attempts,
+                fault=response.fault,
                 home=tuple(self.library.home),
                 caller=self.name,
             )
         )
-        if self.rng.random() < self.storm_chance and reply.id:
+        if self.rng.random() < self.storm_chance and response.id:
             delay = ms(self.rng.uniform(0, 50))
-            self.world.after(delay, self.repeat, reply.id, service, reply.attempts + 1, STORM_REPEATS)
-        return reply
+            self.world.after(delay, self.retry_directly, response.id, service, response.attempts + 1, STORM_RETRIES)
+        return response
 
-    def repeat(self, request_id: str, service: str, attempt: int, left: int) -> None:
-        """Repeat by hand, at once and `left` times, through any proxy."""
+    def retry_directly(self, request_id: str, service: str, attempt: int, remaining: int) -> None:
+        """Send `remaining` attempts in quick succession, each directly to a random proxy."""
         proxy = self.rng.choice(self.world.of('prox'))
-        self.send_by_hand(proxy, request_id, service, attempt, self.library.home)
-        if left > 1:
+        self.send_directly(proxy, request_id, service, attempt, self.library.home)
+        if remaining > 1:
             delay = ms(self.rng.uniform(1, 60))
-            self.world.after(delay, self.repeat, request_id, service, attempt + 1, left - 1)
+            self.world.after(delay, self.retry_directly, request_id, service, attempt + 1, remaining - 1)
 
-    def send_by_hand(
+    def send_directly(
         self, proxy: simulated_node.Node, request_id: str, service: str, attempt: int, home: typing.Sequence[str]
     ) -> None:
-        """Make one attempt as a plain HTTP client would."""
+        """Send one attempt to a proxy as a plain HTTP client does."""
         address = proxy.location.http
         path = f'/r/{service}/work'
         headers = {
@@ -179,10 +179,10 @@
         if home:
             headers['zt-home'] = ','.join(home)
         deferred = self.world.fetch(self.name, address, 'POST', path, headers, b'{}', ATTEMPT_TIMEOUT)
-        deferred.addCallback(lambda result: self.note_attempt(address, path, headers, result))
+        deferred.addCallback(lambda result: self.record_attempt(address, path, headers, result))
 
-    def note_attempt(self, proxy: str, path: str, headers: dict[str, str], result: effects.HttpResult) -> None:
-        """Note how an attempt at a proxy ended; other calls of the library are passed over."""
+    def record_attempt(self, proxy: str, path: str, headers: dict[str, str], result: effects.HttpResult) -> None:
+        """Record how an attempt at a proxy ended; the library's other calls, which have no id, are ignored."""
         if 'zt-id' not in headers:
             return
         self.deployment.records.attempts.append(
@@ -193,7 +193,7 @@
                 proxy=proxy,
                 outcome=result.headers.get('zt-outcome'),
                 status=result.status,
-                is_whole=not result.fault,
+                is_complete=not result.fault,
                 home=[region for region in headers.get('zt-home', '').split(',') if region],
                 body=result.body,
                 service=path.split('/')[2],
--- a/zinctrail/simulation/actors/deployment.py
+++ b/zinctrail/simulation/actors/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment's processes and users in one world, on days of the client library."""
+"""A deployment of processes and users in one simulated world, for scenarios of the client library."""
 
 import datetime
 
@@ -18,10 +18,10 @@
 
 
 class Deployment:
-    """Processes, endpoints and users of a shape of fleet.deployments.PRESETS.
+    """The processes, endpoints and users of a deployment with one of the shapes in fleet.deployments.PRESETS.
 
-    :param slots: how many requests an endpoint works on at once.
-    :param plain: whether endpoints link no library.
+    :param slots: the number of concurrent requests of an endpoint.
+    :param plain: whether endpoints do not use the zinctrail library.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.operator = operator_actor.Operator(self)
 
     def zone_at(self, number: int) -> str:
-        """The name of a zone, counted round and round."""
+        """Return the name of the zone at an index; the index wraps around."""
         return self.cells[number % len(self.cells)]
 
     def add_endpoint(self, service: str, cell: str, slots: int) -> None:
@@ -57,13 +57,13 @@
         self.endpoints.append(endpoint_actor.Endpoint(self, f'end{number}', address, service, cell, slots))
 
     def start(self, config: dict | None = None) -> None:
-        """Start everything: a leader, the configuration in force, endpoints known.
+        """Start all processes and endpoints; return once there is a leader and the configuration is accepted.
 
-        :raises AssertionError: there is no leader, or the configuration was not accepted.
+        :raises AssertionError: if no leader is elected or the configuration is not accepted.
         """
         world = self.world
         for node in world.nodes.values():
-            # Not all in the same instant, since machines never start so.
+            # Staggered, since real machines never start at the same instant.
             world.after(ms(world.rng.uniform(0, 300)), node.start)
         if not world.run(START_TIMEOUT, lambda: world.leader() is not None):
             raise AssertionError(f'no leader: seed {world.seed}')
@@ -80,33 +80,36 @@
             world.after(ms(world.rng.uniform(0, 1000)), endpoint.start)
         world.run(ms(2500))
 
-    def start_callers(self, rate: float | None = None, per_cell: int = 1, **more) -> None:
-        """Start callers in each cell that send `rate` requests a second in all; `more` goes to each Caller."""
+    def start_callers(self, rate: float | None = None, per_zone: int = 1, **parameters) -> None:
+        """Start callers in each zone that together send `rate` requests per second.
+
+        :param parameters: further parameters of each Caller.
+        """
         services = sorted(self.shape['services'])
         rate = rate or self.shape['rate']
-        count = len(self.cells) * per_cell
+        count = len(self.cells) * per_zone
         for number in range(count):
             name = f'caller{len(self.callers)}'
-            caller = caller_actor.Caller(self, name, self.zone_at(number), services, rate / count, **more)
+            caller = caller_actor.Caller(self, name, self.zone_at(number), services, rate / count, **parameters)
             self.callers.append(caller)
             caller.start()
 
-    def start_applications(self, count: int = 3, **more) -> None:
-        """Start applications, spread over the cells."""
+    def start_applications(self, count: int = 3, **parameters) -> None:
+        """Start applications, spread over the zones."""
         for number in range(count):
-            application = application_actor.Application(self, f'app{number}', self.zone_at(number), **more)
+            application = application_actor.Application(self, f'app{number}', self.zone_at(number), **parameters)
             self.applications.append(application)
             application.start()
 
     def stop_load(self, length: datetime.timedelta = ms(8000)) -> None:
-        """Switch callers and applications off, and run until what is under way has ended."""
+        """Switch off callers and applications, and run on for `length` so that requests in progress end."""
         for user in self.callers + self.applications:
             user.on = False
         self.world.run(length)
 
     def tally(self) -> dict[str, int]:
-        """How many requests ended in which outcome."""
+        """Return the number of requests by outcome."""
         counts: dict[str, int] = {}
-        for reply in self.records.replies:
+        for reply in self.records.responses:
             counts[reply.outcome] = counts.get(reply.outcome, 0) + 1
         return counts
--- a/zinctrail/simulation/actors/endpoint.py
+++ b/zinctrail/simulation/actors/endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint: with the endpoints' library inside, or plain."""
+"""A simulated endpoint, with or without the zinctrail library for endpoints."""
 
 import datetime
 import json
@@ -15,19 +15,19 @@
 
 ms = durations.ms
 
-# How long an endpoint works on a request, from and to, in ms.
-USUAL_WORK_MS = (2, 20)
+# The minimum and maximum time that an endpoint works on a request, in ms.
+DEFAULT_WORK_MS = (2, 20)
 HEARTBEAT_TIMEOUT = ms(1500)
 HEARTBEAT_RETRY = ms(100)
-# How many heartbeats go to a directory nearby.
-NEAR_SHARE = 0.8
-# Most replies are good, and some are the endpoint's own errors, which are replies like any other.
+# The share of heartbeats that go to a directory in the endpoint's zone.
+SAME_ZONE_SHARE = 0.8
+# Most responses are successes; some are the endpoint's own errors, which are passed on like any other response.
 STATUSES = (200, 404, 500)
 STATUS_WEIGHTS = (96, 3, 1)
 
 
 class PlainAdmission(admission.Admission):
-    """Keeps to docs/interface.md and to nothing more: it refuses nothing and remembers nothing."""
+    """Implements only docs/interface.md, without the library's admission: it refuses and remembers no requests."""
 
     def admit(self, headers: dict[str, str]) -> None:
         """Admit every request."""
@@ -36,7 +36,7 @@
 
 
 class Endpoint:
-    """A server of one service, at one address; each start is a new incarnation."""
+    """A server of one service at one address; each start is a new incarnation."""
 
     def __init__(
         self,
@@ -59,19 +59,19 @@
         self.labels = labels
         self.sends_heartbeats = sends_heartbeats
         self.up = False
-        # Counts starts and ends; the name of an incarnation is the admission's.
+        # Counts starts and ends; the incarnation's id is in the admission.
         self.incarnation = 0
-        self.work_ms = USUAL_WORK_MS
-        # How cold it starts, from 0 to 1, and how long it takes to warm up.
-        self.coldness = 0.0
+        self.work_ms = DEFAULT_WORK_MS
+        # The share of the warm-up that remains at the start, from 0 (warm) to 1, and the length of the full warm-up.
+        self.initial_warm_up = 0.0
         self.warm_up_time: datetime.timedelta | None = None
-        # Chances of a bad reply.
+        # The probabilities of a lost, garbled, truncated or misrouted response.
         self.loss_chance = self.garbling_chance = self.truncation_chance = self.misrouting_chance = 0.0
-        # Whether it says, after its work, that it did not run.
-        self.refuses = False
+        # Whether it responds to each request, after the usual work time, that the request did not run.
+        self.refuses_all = False
         self.last_body = b''
 
-    # -- life -----------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------
 
     def start(self) -> None:
         """Start a new incarnation."""
@@ -79,7 +79,7 @@
         self.up = True
         kind = PlainAdmission if self.deployment.plain else admission.Admission
         self.admission = kind(self.address, self.service, self.cell, self.slots, self.labels, self.world.rng)
-        self.admission.cold = self.coldness
+        self.admission.cold = self.initial_warm_up
         self.incarnations = {self.admission.incarnation}
         self.running = 0
         self.started_at = self.world.now
@@ -87,25 +87,25 @@
         self.send_heartbeat(self.incarnation)
 
     def kill(self) -> None:
-        """End at once, without a word."""
+        """End at once, without deregistering."""
         self.up = False
         self.incarnation += 1
         if self.world.endpoints.get(self.address) is self:
             del self.world.endpoints[self.address]
 
     def set_state(self, state: str) -> None:
-        """Say with a heartbeat at once that it is ready, draining or leaving."""
+        """Announce the state ready, draining or leaving in an immediate heartbeat."""
         self.admission.state = state
         self.send_heartbeat(self.incarnation, once=True)
 
     def warm_up(self) -> None:
-        """Set how cold it is by now; it warms up linearly."""
+        """Set the admission's remaining share of the warm-up, which falls linearly with time."""
         if self.warm_up_time:
-            left = 1 - (self.world.now - self.started_at) / self.warm_up_time
-            self.admission.cold = max(0.0, min(1.0, self.coldness * left))
+            remaining = 1 - (self.world.now - self.started_at) / self.warm_up_time
+            self.admission.cold = max(0.0, min(1.0, self.initial_warm_up * remaining))
 
     def send_heartbeat(self, incarnation: int, once: bool = False) -> None:
-        """Send a heartbeat, and go on sending them unless `once`; what fails is sent again soon."""
+        """Send a heartbeat, and schedule the next unless `once`; a failed one is retried soon."""
         if incarnation != self.incarnation or not self.sends_heartbeats:
             return
         self.warm_up()
@@ -120,21 +120,21 @@
             json.dumps(body).encode(),
             HEARTBEAT_TIMEOUT,
         )
-        deferred.addCallback(self.heartbeat_answered, incarnation, sent_at, body)
+        deferred.addCallback(self.on_heartbeat_response, incarnation, sent_at, body)
         if not once:
             self.world.after(self.world.settings.beat, self.send_heartbeat, incarnation)
 
     def pick_directory(self) -> simulated_node.Node:
-        """A random directory, mostly one nearby."""
+        """Return a random directory, usually one in the endpoint's zone."""
         rng = self.world.rng
         directories = self.world.of('dir')
         near = [node for node in directories if node.location.cell == self.cell] or directories
-        return rng.choice(near if rng.random() < NEAR_SHARE else directories)
+        return rng.choice(near if rng.random() < SAME_ZONE_SHARE else directories)
 
-    def heartbeat_answered(
+    def on_heartbeat_response(
         self, result: effects.HttpResult, incarnation: int, sent_at: datetime.timedelta, body: dict
     ) -> None:
-        """Note an acknowledged state, or a 410, after which a new incarnation begins."""
+        """Record an acknowledged state; after a 410, record the removal and begin a new incarnation."""
         if incarnation != self.incarnation:
             return
         records = self.deployment.records
@@ -153,7 +153,7 @@
     # -- requests ---------------------------------------------------------------
 
     def call(self, call: effects.HttpRequest, callback: typing.Callable) -> None:
-        """A request arrives."""
+        """Handle a request."""
         if call.path == '/zt/live':
             callback(effects.HttpResult(*self.admission.liveness()))
             return
@@ -162,7 +162,7 @@
         self.warm_up()
         arrival = self.arrival_of(headers)
         records.arrivals.append(arrival)
-        if self.refuses:
+        if self.refuses_all:
             self.world.after(ms(self.work_ms[0]), self.refuse_after_work, headers, callback)
             return
         refusal = self.admission.admit(headers)
@@ -175,14 +175,14 @@
         self.world.after(work, self.finish, self.incarnation, headers, callback)
 
     def arrival_of(self, headers: dict[str, str]) -> actor_records.Arrival:
-        """The note of a request that arrives now."""
+        """Return the record of a request that arrives now."""
         return actor_records.Arrival(
             at=self.world.now,
             id=headers['zt-id'],
             attempt=int(headers['zt-attempt']),
             incarnation=self.admission.incarnation,
             target_incarnation=headers['zt-inc'],
-            is_stranger=headers['zt-inc'] not in self.incarnations,
+            is_unknown_target=headers['zt-inc'] not in self.incarnations,
             address=self.address,
             service=self.service,
             cell=self.cell,
@@ -193,11 +193,11 @@
         )
 
     def refuse_after_work(self, headers: dict[str, str], callback: typing.Callable) -> None:
-        """Say that the request did not run, after the time that its work would have taken."""
+        """Respond, after the usual work time, that the request did not run."""
         callback(effects.HttpResult(*self.admission.sealed(503, headers, 'not-run', b'{}')))
 
     def finish(self, incarnation: int, headers: dict[str, str], callback: typing.Callable) -> None:
-        """The work is done: reply, or spoil the reply as the chances have it."""
+        """Respond to a request whose work is done; lose or damage the response as the probabilities have it."""
         if incarnation != self.incarnation:
             callback(effects.HttpResult(fault='connection lost'))
             return
--- a/zinctrail/simulation/actors/operator.py
+++ b/zinctrail/simulation/actors/operator.py
@@ -1,4 +1,4 @@
-"""An operator: reads, changes and applies the configuration, as zinctrailctl does."""
+"""An operator that reads, changes and applies the configuration, as zinctrailctl does."""
 
 import copy
 import datetime
@@ -19,18 +19,18 @@
 APPLY_TIMEOUT = ms(3000)
 STATUS_TIMEOUT = ms(2000)
 RETRY_AFTER = ms(200)
-# How often an apply without a known result is sent, with its id.
+# The maximum number of times that an apply with an unknown result is sent, always with the same id.
 APPLY_ATTEMPTS = 4
-# Statuses that leave open whether an apply took effect.
-UNKNOWN = (0, 503, 504)
+# Statuses after which it is unknown whether an apply took effect.
+UNKNOWN_RESULT_STATUSES = (0, 503, 504)
 
 
 def ignore(*args) -> None:
-    """A callback for whoever needs no answer."""
+    """Do nothing: the default callback of a caller that needs no response."""
 
 
 class Operator:
-    """Changes the configuration over HTTP; callbacks take (status or 0, document)."""
+    """Changes the configuration over HTTP; callbacks take the status (0 without a response) and the document."""
 
     def __init__(self, deployment: 'client_deployment.Deployment', name: str = 'op') -> None:
         self.deployment = deployment
@@ -46,35 +46,35 @@
         wait: datetime.timedelta = ms(9000),
         node: simulated_node.Node | None = None,
     ) -> None:
-        """Call a node that follows a leader, or the one given."""
+        """Send a call to a random node that follows a leader, or to the given node."""
         nodes = [node for node in self.world.of('dir') + self.world.of('core') if node.up and node.machine.leader]
         node = node or self.world.rng.choice(nodes or self.world.of('dir'))
         raw = json.dumps(body).encode() if body else b''
         deferred = self.world.fetch(self.name, node.location.http, method, path, {}, raw, wait)
 
-        def answered(result: effects.HttpResult) -> None:
-            """Pass on the status, and the body as a document if it is one."""
+        def on_response(result: effects.HttpResult) -> None:
+            """Pass on the status and the body's document; an empty one if the body is not JSON."""
             try:
                 document = json.loads(result.body) if result.body else {}
             except ValueError:
                 document = {}
             callback(result.status, document)
 
-        deferred.addCallback(answered)
+        deferred.addCallback(on_response)
 
     def read(self, callback: typing.Callable[[dict | None], typing.Any] = ignore) -> None:
         """Read the configuration back; the callback takes the document, or None."""
         sent_at = self.world.now
 
-        def answered(status: int, document: dict) -> None:
-            """Note what was read, and pass it on."""
+        def on_response(status: int, document: dict) -> None:
+            """Record the configuration that was read, and pass it on."""
             if status == 200:
                 self.deployment.records.reads.append(
                     actor_records.Read(sent_at, self.world.now, document['generation'], document['config'])
                 )
             callback(document if status == 200 else None)
 
-        self.ask('GET', '/v1/config', None, answered, READ_TIMEOUT)
+        self.ask('GET', '/v1/config', None, on_response, READ_TIMEOUT)
 
     def apply(
         self,
@@ -83,25 +83,25 @@
         callback: typing.Callable[[int, dict], typing.Any] = ignore,
         wait: bool = False,
     ) -> None:
-        """Apply a configuration, and send it again with its id while its result is not known."""
+        """Apply a configuration; retry with the same id while the result is unknown."""
         sent_at = self.world.now
-        left = APPLY_ATTEMPTS
+        remaining = APPLY_ATTEMPTS
         epoch = max(node.machine.replica.get('meta', 'epoch') or 0 for node in self.world.of('dir') if node.machine)
         body = {'config': config, 'base': base, 'wait': wait, 'id': f'{epoch}.{self.world.rng.getrandbits(64):x}'}
 
-        def answered(status: int, document: dict) -> None:
-            """Send again what has no known result, and note the result at the end."""
-            nonlocal left
-            left -= 1
-            if status in UNKNOWN and left:
-                self.world.after(RETRY_AFTER, self.ask, 'PUT', '/v1/config', body, answered, APPLY_TIMEOUT)
+        def on_response(status: int, document: dict) -> None:
+            """Retry while the result is unknown, and record the final result."""
+            nonlocal remaining
+            remaining -= 1
+            if status in UNKNOWN_RESULT_STATUSES and remaining:
+                self.world.after(RETRY_AFTER, self.ask, 'PUT', '/v1/config', body, on_response, APPLY_TIMEOUT)
                 return
             self.deployment.records.applies.append(
                 actor_records.Apply(sent_at, self.world.now, status, base, document.get('generation'), config)
             )
             callback(status, document)
 
-        self.ask('PUT', '/v1/config', body, answered, APPLY_TIMEOUT)
+        self.ask('PUT', '/v1/config', body, on_response, APPLY_TIMEOUT)
 
     def change(
         self,
@@ -110,64 +110,64 @@
         attempts: int = 20,
         wait: bool = False,
     ) -> None:
-        """Read the configuration, change it by function(config) and apply it; on a conflict or a fault, all over."""
+        """Change the configuration by function(config): read, modify, apply; start over after a conflict or an error."""
 
-        def have_read(document: dict | None) -> None:
-            """Apply the changed configuration on the version that was read."""
+        def on_read(document: dict | None) -> None:
+            """Apply the changed configuration on top of the generation that was read."""
             if document is None:
-                again(0, {})
+                start_over(0, {})
                 return
             config = copy.deepcopy(document['config'])
             function(config)
-            self.apply(config, document['generation'], applied, wait)
+            self.apply(config, document['generation'], on_applied, wait)
 
-        def applied(status: int, document: dict) -> None:
-            """Pass on a success, and begin again after anything else."""
+        def on_applied(status: int, document: dict) -> None:
+            """Pass on a success; start over after anything else."""
             if status == 200:
                 callback(status, document)
             else:
-                again(status, document)
+                start_over(status, document)
 
-        def again(status: int, document: dict) -> None:
-            """Begin again, unless the change is invalid or no attempts are left."""
+        def start_over(status: int, document: dict) -> None:
+            """Start over, unless the change is invalid or no attempts remain."""
             if attempts > 1 and status != 400:
                 self.world.after(RETRY_AFTER, self.change, function, callback, attempts - 1, wait)
             else:
                 callback(status, document)
 
-        self.read(have_read)
+        self.read(on_read)
 
-    def watch_status(self, seen: set[str] | None = None, every: datetime.timedelta = ms(500)) -> None:
-        """Watch the status page for endpoints that are no longer listed."""
+    def poll_status(self, seen: set[str] | None = None, every: datetime.timedelta = ms(500)) -> None:
+        """Poll the status page, and record endpoints that are no longer listed."""
         seen = set() if seen is None else seen
 
-        def answered(status: int, document: dict) -> None:
-            """Note which endpoints are no longer listed, and look again later."""
+        def on_response(status: int, document: dict) -> None:
+            """Record the endpoints that are no longer listed, and schedule the next poll."""
             if status == 200:
                 listed = set(document['state']['endpoints'])
                 for incarnation in seen - listed:
                     self.deployment.records.gone.setdefault(incarnation, self.world.now)
                 seen.update(listed)
-            self.world.after(every, self.watch_status, seen)
+            self.world.after(every, self.poll_status, seen)
 
-        self.ask('GET', '/v1/status', None, answered, STATUS_TIMEOUT)
+        self.ask('GET', '/v1/status', None, on_response, STATUS_TIMEOUT)
 
     def evacuate(self, cell: str, is_evacuated: bool = True) -> None:
-        """Evacuate a cell, or take it back."""
+        """Evacuate a zone, or end its evacuation."""
         sent_at = self.world.now
 
         def set_evacuated(config: dict) -> None:
-            """Change the evacuation of the zone in a configuration."""
+            """Set the zone's evacuation in a configuration."""
             nonlocal sent_at
-            # The time counts from the change itself: reading first is the client's own affair.
+            # The time counts from the change itself: the system's time bound does not include the read before it.
             sent_at = self.world.now
             config['cells'].setdefault(cell, {}).update(evacuated=is_evacuated)
 
-        def changed(status: int, document: dict) -> None:
-            """Note the order once it is acknowledged."""
+        def on_changed(status: int, document: dict) -> None:
+            """Record the evacuation once it is acknowledged."""
             if status == 200:
                 self.deployment.records.evacuations.append(
                     actor_records.Evacuation(sent_at, self.world.now, cell, is_evacuated)
                 )
 
-        self.change(set_evacuated, changed)
+        self.change(set_evacuated, on_changed)
--- a/zinctrail/simulation/actors/records.py
+++ b/zinctrail/simulation/actors/records.py
@@ -1,4 +1,4 @@
-"""What was seen from outside on a day of the client library: the only thing that the checkers read."""
+"""Records of what was observed from outside in a scenario of the client library, the only input of the checkers."""
 
 import dataclasses
 import typing
@@ -9,8 +9,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reply:
-    """What the client library gave its caller for one request, after all attempts."""
+class Response:
+    """The response that the client library returned for a request, after all attempts."""
 
     sent_at: Time
     responded_at: Time
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One attempt of a request at a proxy, as its caller saw it end."""
+    """One attempt of a request at a proxy, and its result at the caller."""
 
     responded_at: Time
     id: str
@@ -35,7 +35,7 @@
     proxy: str
     outcome: str | None
     status: int
-    is_whole: bool
+    is_complete: bool
     home: list[str]
     body: bytes
     service: str
@@ -43,28 +43,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Arrival:
-    """A request that reached an endpoint, also where the endpoint then refused it."""
+    """A request that reached an endpoint, whether it ran or was refused."""
 
     at: Time
     id: str
     attempt: int
-    # The incarnation that it reached, and the one that it was sent to.
+    # The incarnation that it reached, and the one that it was addressed to.
     incarnation: str
     target_incarnation: str
-    # Whether it was sent to none of the incarnations that this process ever was.
-    is_stranger: bool
+    # Whether it was addressed to an incarnation that this process never had.
+    is_unknown_target: bool
     address: str
     service: str
     cell: str
     home: list[str]
-    # Requests at work there with this one, and how many it can bear.
+    # The number of running requests there including this one, and the endpoint's capacity.
     running: int
     capacity: float
     labels: dict[str, str]
 
 
 class StateChange(typing.NamedTuple):
-    """An endpoint's word that it drains or leaves, once it was acknowledged."""
+    """An acknowledged announcement by an endpoint that it drains or leaves."""
 
     acknowledged_at: Time
     sent_at: Time
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Apply:
-    """A configuration that an operator applied, and its answer."""
+    """An operator's attempt to apply a configuration, and the response."""
 
     sent_at: Time
     responded_at: Time
@@ -85,7 +85,7 @@
 
 
 class Read(typing.NamedTuple):
-    """A configuration that was read back."""
+    """A configuration as read back by an operator."""
 
     sent_at: Time
     responded_at: Time
@@ -94,7 +94,7 @@
 
 
 class Evacuation(typing.NamedTuple):
-    """An order to evacuate a cell or to take it back, once it was acknowledged."""
+    """An acknowledged command to evacuate a zone or to end its evacuation."""
 
     sent_at: Time
     acknowledged_at: Time
@@ -104,12 +104,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Operation:
-    """An operation on a number or a key, as linearizability.order judges it."""
+    """An operation on a number or a key, checked by linearizability.order."""
 
     kind: str
     key: str
     sent_at: Time
-    # None where the result is unknown: it may have happened at any time since, or never.
+    # None if the result is unknown: the operation may have taken effect at any time since, or never.
     responded_at: Time | None = None
     value: int | str | None = None
     expected_revision: int | None = None
@@ -120,7 +120,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Watch:
-    """A watch of keys; is_gone: it was refused, since its history is no longer there."""
+    """A watch of keys; is_gone if it was refused because its history is no longer retained."""
 
     prefix: str
     since: int
@@ -133,23 +133,23 @@
 
 
 class Loss(typing.NamedTuple):
-    """When everything that a fault took away and that may come back is back."""
+    """The time at which everything that a fault took away, and that comes back at all, is back."""
 
     at: Time
     fault: str
 
 
 class Records:
-    """All that was seen from outside, in the order of virtual time."""
+    """All that was observed from outside, in the order of virtual time."""
 
     def __init__(self):
-        self.replies: list[Reply] = []
+        self.responses: list[Response] = []
         self.attempts: list[Attempt] = []
         self.arrivals: list[Arrival] = []
         # The arrivals that ran.
         self.runs: list[Arrival] = []
         self.states: list[StateChange] = []
-        # When an incarnation was first seen to be missing from the status page, or was told so by a 410.
+        # When an incarnation was first missing from the status page, or was told by a 410 that it was removed.
         self.gone: dict[str, Time] = {}
         self.applies: list[Apply] = []
         self.reads: list[Read] = []
@@ -158,6 +158,6 @@
         self.numbers: list[Operation] = []
         self.keys: list[Operation] = []
         self.watches: list[Watch] = []
-        # When each fault began, and when all it took away was back.
+        # When each fault began, and when everything that it took away was back.
         self.begins: list[Time] = []
         self.losses: list[Loss] = []
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -39,12 +39,12 @@
     for attempt in deployment.records.attempts:
         # Attempts up to this one: a later attempt is a new request, whose run breaks no promise.
         has_run = any(number <= attempt.number for number in ran[attempt.id])
-        if attempt.outcome == 'not-run' and attempt.is_whole and has_run:
+        if attempt.outcome == 'not-run' and attempt.is_complete and has_run:
             findings.append(
                 f'{attempt.id} attempt {attempt.number} told not-run at {seconds(attempt.responded_at)},'
                 f' ran as {sorted(ran[attempt.id])}'
             )
-    for reply in deployment.records.replies:
+    for reply in deployment.records.responses:
         if reply.outcome == 'not-run' and any(number <= reply.attempts for number in ran[reply.id]):
             findings.append(f'{reply.id} ended as not-run, ran as {sorted(ran[reply.id])}')
     return findings
@@ -56,7 +56,7 @@
     findings = []
     records = deployment.records
     runs = {(run.id, run.incarnation) for run in records.runs}
-    for row in records.attempts + records.replies:
+    for row in records.attempts + records.responses:
         # Without the statuses that the system gives itself: 409 is an endpoint's word that the id ran there before.
         if row.outcome != 'ran' or row.status == 409:
             continue
@@ -108,7 +108,7 @@
     return [
         f'{arrival.id} meant for {arrival.target_incarnation} reached the newcomer {arrival.incarnation} at {arrival.address}'
         for arrival in deployment.records.arrivals
-        if arrival.is_stranger
+        if arrival.is_unknown_target
     ]
 
 
@@ -217,7 +217,7 @@
     """Every service, and most requests, run within 15 s of when all that may come back has come back."""
     findings = []
     records = deployment.records
-    last = max((reply.sent_at for reply in records.replies), default=ms(0))
+    last = max((reply.sent_at for reply in records.responses), default=ms(0))
     for loss in undisturbed_losses(deployment):
         # Where nobody asked for the whole time, silence proves nothing.
         if last < loss.at + ms(14000):
@@ -229,7 +229,7 @@
                 findings.append(f'no request to {service} ran within 15 s of {loss.fault} at {seconds(loss.at)}')
         late = [
             reply.outcome == 'ran'
-            for reply in records.replies
+            for reply in records.responses
             if loss.at + ms(10000) < reply.sent_at <= loss.at + ms(14000)
         ]
         if len(late) >= 20 and sum(late) < 0.8 * len(late):
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -117,7 +117,7 @@
         deployment = self.deployment
         self.set_clocks()
         deployment.start()
-        deployment.operator.watch_status()
+        deployment.operator.poll_status()
         deployment.start_callers(self.rate, wild=self.wild)
         # Some with home regions, since the rule about them needs such traffic.
         for number, cell in enumerate(deployment.cells[:2]):
--- a/zinctrail/simulation/faults/endpoints.py
+++ b/zinctrail/simulation/faults/endpoints.py
@@ -119,7 +119,7 @@
     for endpoint in scenario.rng.sample(scenario.deployment.endpoints, 2):
         if endpoint.up:
             endpoint.kill()
-        endpoint.coldness = 0.9
+        endpoint.initial_warm_up = 0.9
         endpoint.warm_up_time = ms(8000)
         scenario.later(ms(500), endpoint.start)
     return ms(3000)
@@ -132,13 +132,13 @@
     for endpoint in endpoints:
         endpoint.kill()
         endpoint.work_ms = (100, 400)
-    endpoints[0].coldness = 0.9
+    endpoints[0].initial_warm_up = 0.9
     endpoints[0].warm_up_time = ms(9000)
     scenario.later(ms(500), endpoints[0].start)
     for endpoint in endpoints[1:]:
         scenario.later(ms(9000), endpoint.start)
     for endpoint in endpoints:
-        scenario.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
     return ms(10000)
 
 
--- a/zinctrail/simulation/faults/load.py
+++ b/zinctrail/simulation/faults/load.py
@@ -30,7 +30,7 @@
     """Give all endpoints other work times, in ms from and to, for a while."""
     for endpoint in scenario.deployment.endpoints:
         endpoint.work_ms = work_ms
-        scenario.later(length, setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(length, setattr, endpoint, 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
 
 
 @fault
@@ -38,15 +38,15 @@
     """Callers wait shorter than cold endpoints work: what was given up still runs."""
     for caller in scenario.deployment.callers:
         caller.timeout = ms(400)
-        scenario.later(ms(8000), setattr, caller, 'timeout', caller_actor.USUAL_TIMEOUT)
+        scenario.later(ms(8000), setattr, caller, 'timeout', caller_actor.DEFAULT_TIMEOUT)
     for endpoint in scenario.first_service():
         if endpoint.up:
             endpoint.kill()
-        endpoint.coldness = 0.8
+        endpoint.initial_warm_up = 0.8
         endpoint.warm_up_time = ms(12000)
         endpoint.work_ms = (300, 2500)
         scenario.later(ms(300), endpoint.start)
-        scenario.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(ms(9000), setattr, endpoint, 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
     return ms(10000)
 
 
@@ -59,7 +59,7 @@
             endpoint.kill()
             scenario.later(ms(9000), lambda endpoint=endpoint: endpoint.up or endpoint.start())
         endpoints[0].work_ms = (300, 900)
-        scenario.later(ms(9000), setattr, endpoints[0], 'work_ms', endpoint_actor.USUAL_WORK_MS)
+        scenario.later(ms(9000), setattr, endpoints[0], 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
     for caller in scenario.deployment.callers:
         usual = {
             'rate': caller.rate,
--- a/zinctrail/simulation/faults/operators.py
+++ b/zinctrail/simulation/faults/operators.py
@@ -49,7 +49,7 @@
         home = scenario.rng.choice(regions)
         proxy = scenario.rng.choice([proxy for proxy in proxies if proxy.location.cell.split('/')[0] == home])
         after += ms(scenario.rng.choice((3, 40, 300)))
-        scenario.later(after, caller.send_by_hand, proxy, request_id, service, attempt, [home])
+        scenario.later(after, caller.send_directly, proxy, request_id, service, attempt, [home])
 
 
 def label(config: dict, address: str, **labels) -> None:
--- a/zinctrail/simulation/open_actors/terms.py
+++ b/zinctrail/simulation/open_actors/terms.py
@@ -43,7 +43,7 @@
     repeat_share: float = 0.2
     repeat_slack: int = 20
     repeat_window: datetime.timedelta = ms(10000)
-    # The limit on requests per second to an endpoint that is warming up: a multiple of its warm-up rate, plus a fixed number.
+    # The limit on requests per second to an endpoint that warms up: a multiple of its warm-up rate, plus a constant.
     warm_up_ratio: float = 1.5
     warm_up_slack: int = 5
 
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -103,7 +103,7 @@
     def reset_by_endpoint(
         self, caller: str, effect: effects.HttpFetch, endpoint: 'open_endpoint.Endpoint'
     ) -> defer.Deferred:
-        """Fail a request on a connection that the endpoint dropped without notice; the endpoint never sees the request."""
+        """Fail a request on a connection that the endpoint dropped without notice; the endpoint never sees it."""
         del self.connections[caller, effect.incarnation]
         self.records.endpoint_failures.add(effect.headers.get('zt-id'))
         deferred: defer.Deferred = defer.Deferred()
@@ -113,7 +113,7 @@
         return deferred
 
     def reset(self, node: simulated_node.Node, share: float) -> None:
-        """Reset a share of a node's connections, those to endpoints too: their requests run on, but the responses are lost."""
+        """Reset a share of a node's connections, also to endpoints: requests run on, but their responses are lost."""
         super().reset(node, share)
         for endpoint in list(self.endpoints.values()):
             for request_id, callback in list(endpoint.open.items()):
