--- a/zinctrail/simulation/faults/__init__.py
+++ b/zinctrail/simulation/faults/__init__.py
@@ -1,6 +1,6 @@
-"""Faults of simulated days: each function begins one kind of fault on a day.
+"""Faults of simulated scenarios: each registered function injects one kind of fault.
 
-A fault begins at once, schedules its own end, and returns how long it takes
-until everything that may come back has come back. Modules whose names begin
-with open_ hold the faults of days of open traffic.
+A fault begins at once, schedules its own end, and returns the time until
+everything that it took away, and that comes back at all, is back. Modules whose
+names begin with open_ contain the faults of scenarios of open traffic.
 """
--- a/zinctrail/simulation/faults/disks.py
+++ b/zinctrail/simulation/faults/disks.py
@@ -1,4 +1,4 @@
-"""Faults of disks and of power: lost, damaged, full and slow disks, and power lost right after a write."""
+"""Faults of disks and power: lost, corrupted, full and slow disks, and power losses right after a write."""
 
 import datetime
 
@@ -14,11 +14,11 @@
 
 @fault
 def die_confirming(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A machine loses power right after a write, before what rests on it is sent."""
+    """A machine loses power right after a write, before any message that depends on the write is sent."""
     writes_left = scenario.rng.randrange(1, 30)
 
     def die(node: simulated_node.Node, effect: effects.Write | effects.WriteChunk | effects.CommitChunks) -> bool:
-        """Count writes down, and lose the machine's power at the last."""
+        """Count down the writes, and cut the machine's power at the last; return whether it was cut."""
         nonlocal writes_left
         writes_left -= 1
         if writes_left == 0:
@@ -45,7 +45,7 @@
 
 @fault
 def damage_disk(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A byte of a control node's files is altered while it is down."""
+    """One character of a control node's files is corrupted while the node is down."""
     node = scenario.pick('core')
     node.kill()
     names = sorted(node.disk.files)
@@ -59,13 +59,13 @@
 
 
 def _leader_or_any(scenario: simulated_scenario.Scenario) -> simulated_node.Node | None:
-    """The leader, which may be None, or any control node, with even chances."""
+    """Return the leader, if there is one, or a random control node, each with a probability of one half."""
     return scenario.world.leader() if scenario.rng.random() < 0.5 else scenario.pick('core')
 
 
 @fault
 def disk_full(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A control node's disk is full."""
+    """A control node's disk is full for five seconds."""
     node = _leader_or_any(scenario)
     if node:
         node.disk.full = True
@@ -75,7 +75,7 @@
 
 @fault
 def disk_stalls(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Each write at a control node blocks its process for a while."""
+    """Each write at a control node blocks its process for 20 ms to 2.5 s, for five seconds."""
     node = _leader_or_any(scenario)
     if node:
         node.disk.stall = ms(scenario.rng.choice((20, 200, 2500)))
--- a/zinctrail/simulation/faults/endpoints.py
+++ b/zinctrail/simulation/faults/endpoints.py
@@ -1,4 +1,4 @@
-"""Faults of endpoints: crashes, drains, lost heartbeats, reused addresses, cold returns, spoilt replies."""
+"""Faults of endpoints: crashes, drains, lost heartbeats, reused addresses, warm-ups, damaged responses."""
 
 import datetime
 import typing
@@ -16,13 +16,13 @@
 
 
 def random_endpoint(scenario: 'days.Scenario') -> endpoint_actor.Endpoint:
-    """A random endpoint among those that are up."""
+    """Return a random endpoint among those that are up."""
     return scenario.rng.choice([endpoint for endpoint in scenario.deployment.endpoints if endpoint.up])
 
 
 @fault
 def end_crashes(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint crashes and comes back."""
+    """An endpoint crashes and restarts five seconds later."""
     endpoint = random_endpoint(scenario)
     endpoint.kill()
     scenario.later(ms(5000), endpoint.start)
@@ -31,7 +31,7 @@
 
 @fault
 def end_vanishes(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint is cut off from everybody, for longer than its heartbeats are waited for."""
+    """An endpoint is cut off from every process, for longer than the heartbeat timeout."""
     endpoint = random_endpoint(scenario)
     scenario.world.isolate(endpoint.name)
     scenario.later(ms(9000), scenario.world.heal)
@@ -39,7 +39,10 @@
 
 
 def cut_heartbeats(scenario: 'days.Scenario', endpoint: endpoint_actor.Endpoint) -> None:
-    """Cut an endpoint off from whoever takes its heartbeats or probes it; proxies still reach it."""
+    """Cut an endpoint off from the control nodes and directories, which receive its heartbeats and probe it.
+
+    Proxies still reach it.
+    """
     scenario.world.partition(
         [endpoint.name], [node.name for node in scenario.world.of('core') + scenario.world.of('dir')]
     )
@@ -47,7 +50,7 @@
 
 @fault
 def beats_cut(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint lives and serves on; only its heartbeats and the control nodes' probes are cut off."""
+    """An endpoint's heartbeats and the control nodes' probes are lost; it continues to serve requests."""
     cut_heartbeats(scenario, random_endpoint(scenario))
     scenario.later(ms(12000), scenario.world.heal)
     return ms(12000)
@@ -55,7 +58,7 @@
 
 @fault
 def beats_late(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Heartbeats of an incarnation that was declared gone go on arriving, as the leader changes."""
+    """Heartbeats of a removed incarnation arrive again while the leader changes."""
     cut_heartbeats(scenario, random_endpoint(scenario))
     scenario.later(ms(7500), scenario.world.heal)
     scenario.later(ms(7300), lambda: process_faults.kill_master(scenario))
@@ -74,18 +77,18 @@
 
 @fault
 def end_drains(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint drains, ends and comes back."""
+    """An endpoint drains, ends and restarts."""
     return _leave_gracefully(scenario, 'draining')
 
 
 @fault
 def end_leaves(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint says that it leaves, ends and comes back."""
+    """An endpoint announces that it leaves, ends and restarts."""
     return _leave_gracefully(scenario, 'leaving')
 
 
 def _leave_gracefully(scenario: 'days.Scenario', state: str) -> datetime.timedelta:
-    """Let an endpoint announce a state, end six seconds later, and come back."""
+    """Let an endpoint announce a state, end six seconds later, and restart a second after that."""
     endpoint = random_endpoint(scenario)
     endpoint.set_state(state)
     scenario.later(ms(6000), endpoint.kill)
@@ -95,7 +98,7 @@
 
 @fault
 def address_passed_on(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint dies, and at once another service's endpoint comes up at its address."""
+    """An endpoint crashes, and 50 ms later an endpoint of another service starts at its address."""
     return reuse_address(scenario, random_endpoint(scenario), ms(50))
 
 
@@ -115,7 +118,7 @@
 
 @fault
 def cold_return(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Two endpoints restart and come back cold."""
+    """Two endpoints restart and need to warm up."""
     for endpoint in scenario.rng.sample(scenario.deployment.endpoints, 2):
         if endpoint.up:
             endpoint.kill()
@@ -127,7 +130,7 @@
 
 @fault
 def cold_crowd(scenario: 'days.Scenario') -> datetime.timedelta:
-    """All endpoints of a service but one are gone, and that one comes back cold under many requests."""
+    """All endpoints of a service crash; one restarts soon and must warm up while it gets all the requests."""
     endpoints = scenario.first_service()
     for endpoint in endpoints:
         endpoint.kill()
@@ -144,21 +147,21 @@
 
 @fault
 def outcome_lost(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Endpoints break off connections instead of replying."""
-    spoil_replies(scenario, 'loss_chance', 0.3)
+    """Endpoints close some connections instead of responding."""
+    set_response_fault(scenario, 'loss_chance', 0.3)
     return ms(6000)
 
 
 @fault
 def garbled(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Replies are altered, cut short, or go to another request."""
+    """Some responses are corrupted, truncated, or sent to another request."""
     for chance in ('garbling_chance', 'truncation_chance', 'misrouting_chance'):
-        spoil_replies(scenario, chance, 0.2)
+        set_response_fault(scenario, chance, 0.2)
     return ms(6000)
 
 
-def spoil_replies(scenario: 'days.Scenario', attribute: str, chance: float) -> None:
-    """Set one of the endpoints' chances of a bad reply, for six seconds."""
+def set_response_fault(scenario: 'days.Scenario', attribute: str, chance: float) -> None:
+    """Set one of all endpoints' probabilities of a bad response, for six seconds."""
     for endpoint in scenario.deployment.endpoints:
         setattr(endpoint, attribute, chance)
         scenario.later(ms(6000), setattr, endpoint, attribute, 0.0)
--- a/zinctrail/simulation/faults/load.py
+++ b/zinctrail/simulation/faults/load.py
@@ -1,4 +1,4 @@
-"""Faults of load: more traffic, slow endpoints, impatient callers, repeats at once and often."""
+"""Faults of load: traffic surges, slow endpoints, short timeouts, retry storms."""
 
 import datetime
 import typing
@@ -18,7 +18,7 @@
 
 @fault
 def crowd(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Four times the traffic, to endpoints that take long."""
+    """Callers send four times the usual request rate, while all endpoints are slow."""
     for caller in scenario.deployment.callers:
         caller.rate *= 4
         scenario.later(ms(7000), lambda caller=caller: setattr(caller, 'rate', caller.rate / 4))
@@ -27,7 +27,7 @@
 
 
 def _slow_down(scenario: 'days.Scenario', work_ms: tuple[int, int], length: datetime.timedelta) -> None:
-    """Give all endpoints other work times, in ms from and to, for a while."""
+    """Set the work times of all endpoints, as minimum and maximum in ms, for `length`."""
     for endpoint in scenario.deployment.endpoints:
         endpoint.work_ms = work_ms
         scenario.later(length, setattr, endpoint, 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
@@ -35,7 +35,7 @@
 
 @fault
 def impatient(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Callers wait shorter than cold endpoints work: what was given up still runs."""
+    """Callers time out before endpoints that warm up finish their work: abandoned requests still run."""
     for caller in scenario.deployment.callers:
         caller.timeout = ms(400)
         scenario.later(ms(8000), setattr, caller, 'timeout', caller_actor.DEFAULT_TIMEOUT)
@@ -52,7 +52,7 @@
 
 @fault
 def starved(scenario: 'days.Scenario') -> datetime.timedelta:
-    """One slow endpoint is left of each service, under four times the traffic, half of it repeated at once."""
+    """Each service has one slow endpoint left, at four times the request rate with half of the requests retried."""
     for service in sorted(scenario.shape['services']):
         endpoints = [endpoint for endpoint in scenario.deployment.endpoints if endpoint.service == service]
         for endpoint in endpoints[1:]:
@@ -61,7 +61,7 @@
         endpoints[0].work_ms = (300, 900)
         scenario.later(ms(9000), setattr, endpoints[0], 'work_ms', endpoint_actor.DEFAULT_WORK_MS)
     for caller in scenario.deployment.callers:
-        usual = {
+        defaults = {
             'rate': caller.rate,
             'storm_chance': caller.storm_chance,
             'timeout': caller.timeout,
@@ -71,22 +71,22 @@
         caller.storm_chance = 0.5
         caller.timeout = ms(300)
         caller.wild_chance = 0.0
-        scenario.later(ms(8000), caller.__dict__.update, usual)
+        scenario.later(ms(8000), caller.__dict__.update, defaults)
     return ms(9500)
 
 
 @fault
 def slow_ends(scenario: 'days.Scenario') -> datetime.timedelta:
-    """All endpoints are slow."""
+    """All endpoints are slow for six seconds."""
     _slow_down(scenario, (200, 3000), ms(6000))
     return ms(9000)
 
 
 @fault
 def storm(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Callers repeat at once and often, while replies are lost."""
+    """Callers retry at once and many times, while responses are lost."""
     for caller in scenario.deployment.callers:
         caller.storm_chance = 0.5
         scenario.later(ms(8000), setattr, caller, 'storm_chance', 0.0)
-    endpoint_faults.spoil_replies(scenario, 'loss_chance', 0.2)
+    endpoint_faults.set_response_fault(scenario, 'loss_chance', 0.2)
     return ms(8000)
--- a/zinctrail/simulation/faults/losses.py
+++ b/zinctrail/simulation/faults/losses.py
@@ -1,4 +1,4 @@
-"""Losses of whole cells and regions, for a while or for good, and seeds that change or go stale."""
+"""Losses of machines, zones and regions, temporary or permanent, and seeds that change or go stale."""
 
 import datetime
 import typing
@@ -13,34 +13,34 @@
 fault = registry.CLIENT.register
 
 
-def random_cell(scenario: simulated_scenario.Scenario) -> str:
-    """The name of a random zone."""
+def random_zone(scenario: simulated_scenario.Scenario) -> str:
+    """Return the name of a random zone."""
     return scenario.rng.choice(scenario.deployment.cells)
 
 
 def region_of(cell: str) -> str:
-    """The region of a zone."""
+    """Return the region of a zone."""
     return cell.split('/')[0]
 
 
 @fault
 def cell_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A cell loses power for a while."""
-    gone = random_cell(scenario)
-    _lose(scenario, lambda cell: cell == gone)
+    """A zone loses power for five seconds."""
+    lost = random_zone(scenario)
+    _cut_power(scenario, lambda cell: cell == lost)
     return ms(6000)
 
 
 @fault
 def region_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A region loses power for a while."""
-    gone = region_of(random_cell(scenario))
-    _lose(scenario, lambda cell: region_of(cell) == gone)
+    """A region loses power for five seconds."""
+    lost = region_of(random_zone(scenario))
+    _cut_power(scenario, lambda cell: region_of(cell) == lost)
     return ms(6000)
 
 
-def _lose(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
-    """Cut the power of all that runs in the chosen zones, and bring it back five seconds later."""
+def _cut_power(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
+    """Cut the power of all processes and endpoints in the matching zones, and restart them five seconds later."""
     for node in scenario.world.nodes.values():
         if is_lost(node.location.cell) and node.up:
             node.kill(power=True)
@@ -53,9 +53,9 @@
 
 @fault
 def region_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A region's machines are lost for good, and then one more control node, where there are enough."""
-    gone = region_of(random_cell(scenario))
-    _destroy_place(scenario, lambda cell: region_of(cell) == gone)
+    """A region's machines are lost permanently, then one more control node if more than three remain."""
+    lost = region_of(random_zone(scenario))
+    _destroy_zones(scenario, lambda cell: region_of(cell) == lost)
     control_nodes = [node for node in scenario.world.of('core') if not node.destroyed]
     if len(control_nodes) > 3:
         scenario.later(ms(8000), lambda: _destroy([scenario.rng.choice(control_nodes)]))
@@ -65,22 +65,22 @@
 
 @fault
 def cell_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A cell's machines and endpoints are lost for good."""
-    gone = random_cell(scenario)
-    _destroy_place(scenario, lambda cell: cell == gone)
+    """A zone's machines and endpoints are lost permanently."""
+    lost = random_zone(scenario)
+    _destroy_zones(scenario, lambda cell: cell == lost)
     return ms(1000)
 
 
 @fault
 def machine_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A machine of each role is lost for good."""
+    """One machine of each role is lost permanently."""
     for role in ('core', 'dir', 'prox'):
         _destroy([scenario.pick(role)])
     return ms(1000)
 
 
-def _destroy_place(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
-    """Destroy the machines in the chosen zones, and end the endpoints there."""
+def _destroy_zones(scenario: simulated_scenario.Scenario, is_lost: typing.Callable[[str], bool]) -> None:
+    """Destroy the machines in the matching zones, and end the endpoints there."""
     _destroy([node for node in scenario.world.nodes.values() if is_lost(node.location.cell)])
     for endpoint in scenario.deployment.endpoints:
         if is_lost(endpoint.cell) and endpoint.up:
@@ -88,7 +88,7 @@
 
 
 def _destroy(nodes: typing.Iterable[simulated_node.Node]) -> None:
-    """Cut the power of machines that never come back."""
+    """Cut the power of machines permanently."""
     for node in nodes:
         node.kill(power=True)
         node.destroyed = True
@@ -96,7 +96,7 @@
 
 @fault
 def swap_seeds(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """All seeds are replaced; whoever restarts knows only the new ones."""
+    """All seeds are replaced; a process that restarts knows only the new ones."""
     seeds = [scenario.world.nodes[name].location.addr for name in scenario.rng.sample(sorted(scenario.world.nodes), 3)]
     for node in scenario.world.nodes.values():
         node.location.seeds = list(seeds)
@@ -108,7 +108,7 @@
 
 @fault
 def stale_seeds(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Two of three seeds answer nobody, and half of all processes are killed."""
+    """Two of the three seeds are unreachable addresses, and half of all processes are killed."""
     for node in scenario.world.nodes.values():
         node.location.seeds = ['10.99.0.1:1000', '10.99.0.2:1000', scenario.world.nodes['dir0'].location.addr]
     return process_faults.kill_many(scenario)
--- a/zinctrail/simulation/faults/network.py
+++ b/zinctrail/simulation/faults/network.py
@@ -1,4 +1,4 @@
-"""Faults of the network between processes: partitions, one-way cuts, loss."""
+"""Faults of the network between processes: partitions, one-way cuts, lost frames and responses."""
 
 import datetime
 
@@ -13,7 +13,7 @@
 
 @fault
 def isolate_one(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """One process is cut off from all others and from the endpoints."""
+    """One process is cut off from all other processes and from the endpoints."""
     node = scenario.rng.choice(list(scenario.world.nodes.values()))
     scenario.world.isolate(node.name)
     scenario.later(ms(6000), scenario.world.heal)
@@ -22,7 +22,7 @@
 
 @fault
 def isolate_master(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader is cut off from everybody."""
+    """The leader is cut off from all other processes and from the endpoints."""
     leader = scenario.world.leader()
     if leader:
         scenario.world.isolate(leader.name)
@@ -41,7 +41,7 @@
 
 
 def cut_proxy_off(scenario: simulated_scenario.Scenario, length: datetime.timedelta) -> simulated_node.Node:
-    """Cut a proxy off from the system's other processes; callers and endpoints still reach it."""
+    """Cut a proxy off from the system's other processes, and return it; callers and endpoints still reach it."""
     node = scenario.pick('prox')
     scenario.world.partition([node.name])
     scenario.later(length, scenario.world.heal)
@@ -68,7 +68,7 @@
 
 @fault
 def split_with_master(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader, a directory and a proxy on one side, a majority of the control nodes and the rest on the other."""
+    """A partition: the leader, a directory and a proxy on one side, all other processes on the other."""
     leader = scenario.world.leader()
     if leader is None:
         scenario.miss('split_with_master')
@@ -80,7 +80,7 @@
 
 @fault
 def split_core_from_rest(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """All control nodes reach one another and nobody else reaches them."""
+    """The control nodes reach one another, but no other process reaches them."""
     scenario.world.partition([node.name for node in scenario.world.of('core')])
     scenario.later(ms(5000), scenario.world.heal)
     return ms(5000)
@@ -88,7 +88,7 @@
 
 @fault
 def one_way(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Frames pass in one direction only between some pairs."""
+    """Between some pairs of processes, frames pass in one direction only."""
     names = list(scenario.world.nodes)
     for _ in range(len(names)):
         source, target = scenario.rng.sample(names, 2)
@@ -105,18 +105,18 @@
     world.duplication = 0.03
     world.extra_delay = ms(scenario.rng.uniform(0, 30))
 
-    def over() -> None:
-        """Let the network carry all frames again."""
+    def end_fault() -> None:
+        """End the loss, duplication and delay of frames."""
         world.loss = world.duplication = 0.0
         world.extra_delay = ms(0)
 
-    scenario.later(ms(6000), over)
+    scenario.later(ms(6000), end_fault)
     return ms(6000)
 
 
 @fault
 def replies_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Callers, applications and operators lose replies that were given."""
+    """Responses to callers, applications and operators are lost in transit."""
     deployment = scenario.deployment
     for name in [user.name for user in deployment.callers + deployment.applications] + ['op']:
         scenario.world.reply_loss[name] = 0.2
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -1,6 +1,6 @@
-"""Faults of the control side on days of open traffic: long cuts, storms of changes, resets, slow machines.
+"""Faults of the control plane in scenarios of open traffic: long cuts, storms of changes, resets, slow machines.
 
-Each is named after the platform's fault and the way it comes.
+Each is named after the platform's fault and its variant.
 """
 
 import dataclasses
@@ -25,26 +25,26 @@
 LONG_CUT = ms(20000)
 SHORT_CUT = ms(6000)
 SLOW_SPAN = ms(5000)
-POWER_AWAY = ms(2000)
+POWER_OFF_SPAN = ms(2000)
 
 
 # -- cuts ------------------------------------------------------------------------
 
 
 def cut_off(scenario: 'open_days.Scenario', node: simulated_node.Node, length: datetime.timedelta) -> None:
-    """Cut one control node from the other control nodes; proxies and callers still reach it."""
+    """Cut a control node off from the other control nodes; proxies and callers still reach it."""
     scenario.world.partition([node.name], [other.name for other in scenario.world.of('core')])
     scenario.later(length, scenario.world.heal)
 
 
-def one_control_node(scenario: 'open_days.Scenario') -> simulated_node.Node:
-    """The leader or any other control node, at random."""
+def pick_control_node(scenario: 'open_days.Scenario') -> simulated_node.Node:
+    """Return the leader with a probability of 0.7, otherwise a random control node."""
     return scenario.world.leader() or scenario.pick('core') if scenario.rng.random() < 0.7 else scenario.pick('core')
 
 
 @fault
 def core_cut_leader_long(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The leader is cut off for twenty seconds, and orders of all kinds go on."""
+    """The leader is cut off for twenty seconds, while operators continue to send commands of all kinds."""
     leader = scenario.world.leader()
     if leader is None:
         scenario.miss('core_cut_leader_long')
@@ -63,8 +63,8 @@
 
 @fault
 def core_cut_seeds(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node is cut off, the settings name it first, and some other machines restart."""
-    node = one_control_node(scenario)
+    """A control node is cut off while the settings name it as the first seed and two proxies restart."""
+    node = pick_control_node(scenario)
     cut_off(scenario, node, SHORT_CUT)
     others = [other.location.addr for other in scenario.world.of('core') if other is not node]
     for other in scenario.world.nodes.values():
@@ -77,8 +77,8 @@
 
 @fault
 def core_cut_both(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node is cut off and restarted meanwhile; then the others are restarted, one after another."""
-    node = one_control_node(scenario)
+    """A control node is cut off and restarted during the cut; then the others are restarted, one after another."""
+    node = pick_control_node(scenario)
     cut_off(scenario, node, ms(9000))
     restarted = [node, *(other for other in scenario.world.of('core') if other is not node)]
     for number, other in enumerate(restarted):
@@ -95,7 +95,7 @@
 
 @fault
 def zone_cut(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A zone's machines and endpoints are cut off from the others; its clients still reach all."""
+    """A zone's machines and endpoints are cut off from those of other zones; clients still reach all of them."""
     world = scenario.world
     cell = scenario.rng.choice(scenario.deployment.cells)
     parties = [*world.nodes, *(endpoint.name for endpoint in scenario.deployment.endpoints if endpoint.up)]
@@ -110,7 +110,7 @@
 
 @fault
 def node_cut_servers(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some endpoints are cut off from all machines."""
+    """Some endpoints are cut off from all processes."""
     for endpoint in scenario.sample(scenario.deployment.endpoints, 0.2):
         scenario.world.isolate(endpoint.name)
     scenario.later(SHORT_CUT, scenario.world.heal)
@@ -119,7 +119,7 @@
 
 @fault
 def reset_conns(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Half of the connections of some machines are reset, three times over."""
+    """Half of the connections of some processes are reset, three times in succession."""
     scenario.repeat(3, ms(1500), reset_some, scenario)
     return ms(5000)
 
@@ -136,13 +136,13 @@
 
 @fault
 def node_slow(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node and a proxy get a fifth of their time, in slices of 50 ms."""
-    for node in (one_control_node(scenario), scenario.pick('prox')):
-        scenario.repeat(int(SLOW_SPAN / ms(50)), ms(50), stand_still, node, ms(40))
+    """A control node and a proxy get a fifth of the CPU time: they are paused for 40 ms of each 50 ms."""
+    for node in (pick_control_node(scenario), scenario.pick('prox')):
+        scenario.repeat(int(SLOW_SPAN / ms(50)), ms(50), pause_if_running, node, ms(40))
     return SLOW_SPAN + ms(2000)
 
 
-def stand_still(node: simulated_node.Node, length: datetime.timedelta) -> None:
+def pause_if_running(node: simulated_node.Node, length: datetime.timedelta) -> None:
     """Pause a process, unless it is down or paused already."""
     if node.up and node.paused is None:
         node.pause(length)
@@ -150,8 +150,8 @@
 
 @fault
 def disk_slow(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node's disk takes thirty times as long, its process with it."""
-    node = one_control_node(scenario)
+    """A control node's disk is thirty times as slow, and blocks its process."""
+    node = pick_control_node(scenario)
     node.disk.stall = ms(60)
     scenario.later(SLOW_SPAN, setattr, node.disk, 'stall', ms(0))
     return SLOW_SPAN + ms(2000)
@@ -162,8 +162,8 @@
 
 @fault
 def roll_term_remove_core(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node is told to end and stays away; later it comes back, with its disk."""
-    node = one_control_node(scenario)
+    """A control node is terminated, and restarted with its disk ten seconds later."""
+    node = pick_control_node(scenario)
     open_processes.terminate(scenario, node, again=False)
     scenario.later(ms(10000), scenario.start_unless_up, node)
     return ms(12000)
@@ -171,28 +171,30 @@
 
 @fault
 def roll_term_busy(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Each machine is told to end while it answers a request."""
+    """Each process is terminated while it handles a request, one after another in random order."""
     nodes = list(scenario.world.nodes.values())
     scenario.rng.shuffle(nodes)
     gap = ms(1000)
     for number, node in enumerate(nodes):
-        scenario.later(gap * number, end_when_busy, scenario, node, scenario.world.now + gap * (number + 1))
+        scenario.later(gap * number, terminate_when_busy, scenario, node, scenario.world.now + gap * (number + 1))
     return gap * len(nodes) + ms(6000)
 
 
-def end_when_busy(scenario: 'open_days.Scenario', node: simulated_node.Node, deadline: datetime.timedelta) -> None:
-    """SIGTERM as soon as a request is under way there, at `deadline` at the latest."""
+def terminate_when_busy(
+    scenario: 'open_days.Scenario', node: simulated_node.Node, deadline: datetime.timedelta
+) -> None:
+    """Terminate a process as soon as it handles a request, at `deadline` at the latest."""
     if node.requests or scenario.world.now >= deadline:
         open_processes.terminate(scenario, node)
     else:
-        scenario.later(ms(5), end_when_busy, scenario, node, deadline)
+        scenario.later(ms(5), terminate_when_busy, scenario, node, deadline)
 
 
 def lose_power(scenario: 'open_days.Scenario', nodes: typing.Iterable[simulated_node.Node]) -> None:
-    """Cut the power of machines, and bring each back after some two seconds."""
+    """Cut the power of machines, and restart each 2 to 2.3 seconds later."""
     for node in nodes:
         node.kill(power=True)
-        scenario.restart(node, POWER_AWAY + ms(scenario.rng.uniform(0, 300)))
+        scenario.restart(node, POWER_OFF_SPAN + ms(scenario.rng.uniform(0, 300)))
 
 
 @fault
@@ -204,52 +206,52 @@
 
 @fault
 def herd_kill_taken(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """All control nodes lose power right after an application's call was answered with success."""
-    return when_work_is_accepted(scenario, lambda node: lose_power(scenario, scenario.world.of('core')))
+    """All control nodes lose power right after one of them responded with success to an application's call."""
+    return act_after_accepted_call(scenario, lambda node: lose_power(scenario, scenario.world.of('core')))
 
 
 @fault
 def after_ack_kill_taken(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The control node that has just answered an application's call with success loses power."""
-    return when_work_is_accepted(scenario, lambda node: lose_power(scenario, [node]))
+    """The control node that has just responded with success to an application's call loses power."""
+    return act_after_accepted_call(scenario, lambda node: lose_power(scenario, [node]))
 
 
-def when_work_is_accepted(
-    scenario: 'open_days.Scenario', strike: typing.Callable[[simulated_node.Node], typing.Any]
+def act_after_accepted_call(
+    scenario: 'open_days.Scenario', action: typing.Callable[[simulated_node.Node], typing.Any]
 ) -> datetime.timedelta:
-    """Do something to the control node that answers the next application's call with success."""
-    hit: list[str] = []
+    """Call action(node) with the control node that responds with success to the next application's call."""
+    affected: list[str] = []
 
-    def struck(name: str) -> None:
-        """Strike the first node that reports an accepted call."""
+    def on_accepted_call(name: str) -> None:
+        """Call action with the first node that accepts a call."""
         node = scenario.world.nodes.get(name)
-        if not hit and node:
-            hit.append(name)
-            strike(node)
+        if not affected and node:
+            affected.append(name)
+            action(node)
 
-    def over() -> None:
-        """Stop listening, and note a miss if no call was accepted."""
+    def stop_waiting() -> None:
+        """Remove the callback, and log a miss if no call was accepted."""
         scenario.deployment.on_call_accepted = None
-        if not hit:
+        if not affected:
             scenario.miss('when_work_is_accepted')
 
-    scenario.deployment.on_call_accepted = struck
-    scenario.later(ms(3000), over)
+    scenario.deployment.on_call_accepted = on_accepted_call
+    scenario.later(ms(3000), stop_waiting)
     return ms(8000)
 
 
 @fault
 def after_ack_kill_timed(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node loses power 5 to 400 ms after a change was sent, acknowledged or not."""
+    """A control node loses power 5 to 400 ms after a change was sent, whether or not it is acknowledged by then."""
     open_operators.change_timeout(scenario)
-    scenario.later(ms(scenario.rng.uniform(5, 400)), lambda: lose_power(scenario, [one_control_node(scenario)]))
+    scenario.later(ms(scenario.rng.uniform(5, 400)), lambda: lose_power(scenario, [pick_control_node(scenario)]))
     return ms(6000)
 
 
 @fault
 def after_ack_kill_alone(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The process that acknowledges a change is killed, its machine keeps power."""
-    return open_processes.strike_after_acknowledgement(scenario, lambda node: scenario.kill_for(node, ms(3000)))
+    """The process that acknowledges a change is killed; its machine keeps power."""
+    return open_processes.act_after_acknowledgement(scenario, lambda node: scenario.kill_for(node, ms(3000)))
 
 
 # -- settings ------------------------------------------------------------------------------------
@@ -257,15 +259,15 @@
 
 @fault
 def hup(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some machines read their settings again, unchanged."""
+    """Some processes reload their unchanged settings."""
     nodes = list(scenario.world.nodes.values())
     for number, node in enumerate(scenario.rng.sample(nodes, max(1, round(0.3 * len(nodes))))):
-        scenario.later(ms(400) * number, read_settings, scenario, node)
+        scenario.later(ms(400) * number, reload_settings, scenario, node)
     return ms(400) * len(nodes) + ms(2000)
 
 
-def read_settings(scenario: 'open_days.Scenario', node: simulated_node.Node) -> None:
-    """Let a process read its settings again, unless it is down or paused."""
+def reload_settings(scenario: 'open_days.Scenario', node: simulated_node.Node) -> None:
+    """Let a process reload its settings, unless it is down or paused."""
     if node.up and node.paused is None:
         node.feed('settings', dataclasses.replace(node.location), scenario.world.settings)
 
@@ -275,14 +277,14 @@
 
 @fault
 def config_storm(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A change each 100 ms for five seconds, with no pause for the acknowledgements."""
+    """An operator sends a change every 100 ms for five seconds, without waiting for acknowledgements."""
     scenario.repeat(50, ms(100), open_operators.change_timeout, scenario)
     return ms(8000)
 
 
 @fault
 def config_idle(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The limits of what clients may send are changed."""
+    """The limits on clients' requests and connections change."""
     limits = {
         'version': scenario.deployment.next_version(),
         'header_bytes': 16384,
@@ -296,11 +298,11 @@
 
 @fault
 def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Most acknowledgements to operators are lost, and each order is sent again until one arrives."""
+    """Most acknowledgements to operators are lost, and each command is resent until one arrives."""
     for who in OPERATORS:
         scenario.world.reply_loss[who] = 0.7
     scenario.deployment.records.ack_losses.append(open_records.Span(scenario.world.now, scenario.world.now + ms(8000)))
-    scenario.later(ms(8000), forget_losses, scenario)
+    scenario.later(ms(8000), end_response_losses, scenario)
     for number in range(5):
         scenario.later(ms(1200) * number, open_operators.change_timeout, scenario)
         scenario.later(ms(1200) * number + ms(300), open_operators.race, scenario)
@@ -310,7 +312,7 @@
     return ms(10000)
 
 
-def forget_losses(scenario: 'open_days.Scenario') -> None:
-    """Let operators' replies arrive again."""
+def end_response_losses(scenario: 'open_days.Scenario') -> None:
+    """End the loss of responses to operators."""
     for who in OPERATORS:
         scenario.world.reply_loss.pop(who, None)
--- a/zinctrail/simulation/faults/open_endpoints.py
+++ b/zinctrail/simulation/faults/open_endpoints.py
@@ -1,4 +1,4 @@
-"""Faults of clients and endpoints on days of open traffic: crashes, releases, reused addresses, spoilt answers."""
+"""Faults of clients and endpoints in scenarios of open traffic: crashes, releases, reused addresses, bad responses."""
 
 import datetime
 import functools
@@ -23,7 +23,7 @@
 
 @fault
 def retry_abuse(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A third of the clients send three more requests at once for each one that fails."""
+    """A third of the clients immediately send three extra retries for each failed request."""
     clients = scenario.deployment.clients
     for client in scenario.rng.sample(clients, max(1, len(clients) // 3)):
         client.extra_retries = 3
@@ -33,7 +33,7 @@
 
 @fault
 def give_up(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Half of the clients give requests up within 300 ms, while most endpoints of a service are slow."""
+    """Half of the clients abandon requests within 300 ms, while most endpoints of a service are slow."""
     clients = scenario.deployment.clients
     for client in scenario.rng.sample(clients, max(1, len(clients) // 2)):
         client.abandon_timeout = ms(300)
@@ -44,7 +44,7 @@
 
 @fault
 def crowd(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Five times the traffic: endpoints fill up and refuse, each in its way."""
+    """Clients send five times the usual request rate: endpoints fill up and refuse requests, or reset connections."""
     for client in scenario.deployment.clients:
         client.rate *= 5
         scenario.later(ms(6000), lambda client=client: setattr(client, 'rate', client.rate / 5))
@@ -56,7 +56,7 @@
 
 @fault
 def srv_crash(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some endpoints of a service crash and come back."""
+    """Some endpoints of a service crash and restart."""
     for endpoint in scenario.sample_of_a_service():
         endpoint.kill()
         scenario.later(ms(4500), endpoint.start)
@@ -65,9 +65,9 @@
 
 @fault
 def srv_crash_dark(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some endpoints of a service go silent: connections stay, and nothing comes back."""
+    """Some endpoints of a service go silent: their connections stay open without responses; they restart later."""
     for endpoint in scenario.sample_of_a_service():
-        silence(scenario, endpoint)
+        end_silently(scenario, endpoint)
 
         def come_back(endpoint: open_endpoint.Endpoint = endpoint) -> None:
             """Reconnect the endpoint and start it."""
@@ -78,18 +78,18 @@
     return ms(5000)
 
 
-def silence(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
-    """End an endpoint without a sign: its connections stay, and nothing comes back."""
+def end_silently(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
+    """End an endpoint silently: its connections stay open, and no response arrives on them."""
     for node in scenario.world.nodes:
         scenario.world.cut(endpoint.name, node)
     endpoint.kill(dark=True)
-    # It stays listening, since nobody refuses on behalf of a dark machine.
+    # Its address stays registered: a silent machine does not refuse connections.
     scenario.world.endpoints[endpoint.address] = endpoint
 
 
 @fault
 def srv_crash_gone(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some endpoints of a service crash for good."""
+    """Some endpoints of a service crash permanently."""
     for endpoint in scenario.sample_of_a_service():
         endpoint.kill()
     return ms(7000)
@@ -97,7 +97,7 @@
 
 @fault
 def release(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Half of a service's endpoints are replaced: the new one starts first, the old one drains."""
+    """Half of a service's endpoints are replaced: each new one starts before the old one drains."""
     endpoints = scenario.sample_of_a_service(0.5)
     for number, endpoint in enumerate(endpoints):
         scenario.later(ms(1000) * number, _replace, scenario, endpoint)
@@ -105,14 +105,14 @@
 
 
 def _replace(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
-    """Start a replacement of an endpoint, and drain the old one half a second later."""
+    """Start a replacement for an endpoint, and drain the old one half a second later."""
     scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start()
     scenario.later(ms(500), endpoint.drain)
 
 
 @fault
 def replace_with_reuse(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Endpoints crash, and their addresses pass to another service."""
+    """Endpoints crash, and their addresses are reused by another service."""
     for endpoint in scenario.sample_of_a_service(0.25):
         endpoint.kill()
         reuse_address(scenario, endpoint)
@@ -121,24 +121,24 @@
 
 @fault
 def replace_with_reuse_drain(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Endpoints drain, and their addresses pass to another service."""
+    """Endpoints drain, and their addresses are reused by another service."""
     for endpoint in scenario.sample_of_a_service(0.25):
         endpoint.drain(functools.partial(reuse_address, scenario, endpoint))
     return ms(9000)
 
 
 def reuse_address(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
-    """Start an endpoint of another service at an address, once the platform's least time for that is over."""
+    """Start an endpoint of another service at an endpoint's address, after the platform's minimum time for reuse."""
     service = scenario.rng.choice([name for name in sorted(terms.SERVICES) if name != endpoint.service])
-    newcomer = scenario.deployment.add_endpoint(service, endpoint.cell, endpoint.address)
-    # A new endpoint of the same service comes too: its work goes on elsewhere.
+    new_endpoint = scenario.deployment.add_endpoint(service, endpoint.cell, endpoint.address)
+    # A new endpoint of the same service takes over the work.
     scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start()
-    scenario.later(terms.TERMS.reuse, newcomer.start)
+    scenario.later(terms.TERMS.reuse, new_endpoint.start)
 
 
 @fault
 def scale_in(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Some endpoints of a service drain for good."""
+    """Some endpoints of a service drain permanently."""
     for endpoint in scenario.sample_of_a_service(0.3):
         endpoint.drain()
     return ms(6000)
@@ -146,7 +146,7 @@
 
 @fault
 def cold_return(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A cell's endpoints go and come back together, cold."""
+    """All endpoints of a zone crash and restart together, and need to warm up."""
     cell = scenario.rng.choice(scenario.deployment.cells)
     for endpoint in [each for each in scenario.deployment.endpoints if each.cell == cell and each.up]:
         endpoint.kill()
@@ -156,7 +156,7 @@
 
 @fault
 def cold_crowd(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """All endpoints of a service go; one comes back cold and the rest later, under many requests."""
+    """All endpoints of a service crash; one restarts soon and the rest later, each warming up under high load."""
     service = scenario.rng.choice(sorted(terms.SERVICES))
     endpoints = scenario.deployment.running_endpoints(service)
     for endpoint in endpoints:
@@ -166,35 +166,37 @@
     return crowd(scenario)
 
 
-# -- spoilt and slow answers -------------------------------------------------------------
+# -- bad and slow responses -------------------------------------------------------------
 
 
 @fault
 def answer_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Half of the endpoints break off a tenth of their answers."""
-    return _spoil(scenario, {'loss_chance': 0.1})
+    """Half of the endpoints close the connection instead of sending a tenth of their responses."""
+    return _set_response_faults(scenario, {'loss_chance': 0.1})
 
 
 @fault
 def answer_lost_often(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """All endpoints break off most of their answers."""
-    return _spoil(scenario, {'loss_chance': 0.6}, 1.0)
+    """All endpoints close the connection instead of sending most of their responses."""
+    return _set_response_faults(scenario, {'loss_chance': 0.6}, 1.0)
 
 
 @fault
 def garble(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Half of the endpoints cut answers short or send what is no HTTP."""
-    return _spoil(scenario, {'truncation_chance': 0.04, 'malformed_chance': 0.04})
+    """Half of the endpoints truncate some responses, or send malformed HTTP."""
+    return _set_response_faults(scenario, {'truncation_chance': 0.04, 'malformed_chance': 0.04})
 
 
 @fault
 def garble_extra(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Endpoints send answers a second time, in the place of the next one."""
-    return _spoil(scenario, {'duplicate_chance': 0.1, 'malformed_chance': 0.02}, 0.6)
+    """Endpoints send some responses a second time in place of the next response."""
+    return _set_response_faults(scenario, {'duplicate_chance': 0.1, 'malformed_chance': 0.02}, 0.6)
 
 
-def _spoil(scenario: 'open_days.Scenario', chances: dict[str, float], share: float = 0.5) -> datetime.timedelta:
-    """Give a share of the endpoints these chances of a spoilt answer, for a while."""
+def _set_response_faults(
+    scenario: 'open_days.Scenario', chances: dict[str, float], share: float = 0.5
+) -> datetime.timedelta:
+    """Set the given probabilities of bad responses at a share of the endpoints, for SPAN."""
     for endpoint in scenario.sample(scenario.deployment.endpoints, share):
         for attribute, chance in chances.items():
             setattr(endpoint, attribute, chance)
@@ -204,14 +206,14 @@
 
 @fault
 def slow_ends(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """Most endpoints of a service take twelve times as long."""
+    """Most endpoints of a service are twelve times as slow."""
     slow_down(scenario, share=0.7, factor=12, length=SPAN)
     return ms(6500)
 
 
 def slow_down(scenario: 'open_days.Scenario', share: float, factor: int, length: datetime.timedelta) -> None:
-    """A share of a random service's endpoints take `factor` times as long, for a while."""
+    """Make a share of a random service's endpoints `factor` times as slow, for `length`."""
     for endpoint in scenario.sample_of_a_service(share):
-        usual = endpoint.work_ms
-        endpoint.work_ms = usual * factor
-        scenario.later(length, setattr, endpoint, 'work_ms', usual)
+        default_work_ms = endpoint.work_ms
+        endpoint.work_ms = default_work_ms * factor
+        scenario.later(length, setattr, endpoint, 'work_ms', default_work_ms)
--- a/zinctrail/simulation/faults/open_processes.py
+++ b/zinctrail/simulation/faults/open_processes.py
@@ -1,4 +1,4 @@
-"""Faults of processes on days of open traffic: power losses, kills, SIGTERM in many ways, pauses, new seeds."""
+"""Faults of processes in scenarios of open traffic: power losses, kills, terminations, pauses, new seeds."""
 
 import dataclasses
 import datetime
@@ -21,7 +21,7 @@
 ms = durations.ms
 fault = registry.OPEN.register
 
-# Faults that do the same to the machines of a day whatever the traffic: name here -> name on the other days.
+# Faults shared with the scenarios of the client library: name here -> name there.
 SHARED = {
     'node_kill_master': 'kill_master',
     'node_kill_amid': 'kill_master_amid',
@@ -44,30 +44,30 @@
 
 
 # -- closing faults --------------------------------------------------------------
-# `node`: the name of the machine that has just acknowledged a change, where one is known.
+# `node`: the name of the node that has just acknowledged a change, if known.
 
 
 @fault
 def power_off_all(scenario: 'open_days.Scenario', node: str | None = None) -> datetime.timedelta:
     """All machines lose power."""
-    for each in scenario.world.nodes.values():
-        each.kill(power=True)
-        scenario.restart(each, ms(scenario.rng.uniform(1500, 3000)))
+    for process in scenario.world.nodes.values():
+        process.kill(power=True)
+        scenario.restart(process, ms(scenario.rng.uniform(1500, 3000)))
     return ms(3000)
 
 
 @fault
 def kill_all(scenario: 'open_days.Scenario', node: str | None = None) -> datetime.timedelta:
     """All processes are killed; their machines keep power."""
-    for each in scenario.world.nodes.values():
-        each.kill()
-        scenario.restart(each, ms(scenario.rng.uniform(1500, 3000)))
+    for process in scenario.world.nodes.values():
+        process.kill()
+        scenario.restart(process, ms(scenario.rng.uniform(1500, 3000)))
     return ms(3000)
 
 
 @fault
 def wipe_after_ack(scenario: 'open_days.Scenario', node: str | None = None) -> datetime.timedelta:
-    """A control node's disk is lost right after it acknowledged a change; the others may lose power too."""
+    """A control node loses its disk right after it acknowledged a change; each other one may lose power too."""
     if node is None:
         return after_ack_wipe(scenario)
     wipe(scenario, scenario.world.nodes[node])
@@ -79,7 +79,7 @@
 
 
 def wipe(scenario: 'open_days.Scenario', node: simulated_node.Node) -> None:
-    """Lose a machine's power and disk; it comes back empty."""
+    """Cut a machine's power and wipe its disk; the process restarts with an empty disk."""
     node.kill(power=True)
     node.disk.wipe()
     scenario.restart(node, ms(scenario.rng.uniform(1500, 3000)))
@@ -90,7 +90,7 @@
 
 @fault
 def node_kill(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A control node and a proxy are killed or lose power."""
+    """A control node and a proxy are each killed or lose power."""
     for role in ('core', 'prox'):
         node = scenario.pick(role)
         node.kill(power=scenario.rng.random() < 0.5)
@@ -126,34 +126,34 @@
     return ms(4000)
 
 
-# -- graceful ends -------------------------------------------------------------------
+# -- graceful shutdowns -------------------------------------------------------------------
 
 
 def terminate(scenario: 'open_days.Scenario', node: simulated_node.Node, again: bool = True) -> None:
-    """SIGTERM, SIGKILL when the grace is over, and, if `again`, a new start as soon as the process has ended."""
+    """Send SIGTERM, and SIGKILL after the grace period; restart the process once it has ended if `again`."""
     if not node.up or node.paused is not None:
         return
     node.feed('stop')
     incarnation = node.incarnation
     deadline = scenario.world.now + terms.TERMS.grace
 
-    def look() -> None:
-        """Wait for the process to end, and kill it once its grace is over."""
+    def poll() -> None:
+        """Poll until the process has ended, and kill it once the grace period is over."""
         if node.incarnation != incarnation or not node.up:
             if again:
                 scenario.later(ms(200), scenario.start_unless_up, node)
         elif scenario.world.now >= deadline:
             node.kill()
-            scenario.later(ms(200), look)
+            scenario.later(ms(200), poll)
         else:
-            scenario.later(ms(100), look)
+            scenario.later(ms(100), poll)
 
-    look()
+    poll()
 
 
 @fault
 def roll_term(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """All processes are terminated and started again, one after another, in random order."""
+    """All processes are terminated and restarted, one after another in random order."""
     nodes = list(scenario.world.nodes.values())
     scenario.rng.shuffle(nodes)
     gap = ms(1300)
@@ -164,7 +164,7 @@
 
 @fault
 def roll_term_fronts(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """All proxies are terminated and started again, one after another."""
+    """All proxies are terminated and restarted, one after another."""
     proxies = scenario.world.of('prox')
     for number, node in enumerate(proxies):
         scenario.later(ms(1000) * number, terminate, scenario, node)
@@ -173,7 +173,7 @@
 
 @fault
 def roll_term_region(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The proxies of a home region are terminated and started again, so close that one or none of them stays."""
+    """The proxies of a home region are restarted in such quick succession that at most one of them is up at a time."""
     proxies = [node for node in scenario.world.of('prox') if scenario.deployment.region_of(node.name) == 'r1']
     gap = ms(1400)
     for number, node in enumerate(proxies):
@@ -183,7 +183,7 @@
 
 @fault
 def roll_term_remove(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A proxy is terminated and stays away for a while."""
+    """A proxy is terminated, and restarted nine seconds later."""
     proxies = [node for node in scenario.world.of('prox') if node.up]
     if len(proxies) > 2:
         node = scenario.rng.choice(proxies)
@@ -207,7 +207,7 @@
 
 @fault
 def replace_core_planned(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """A new control node starts first, then the old one is terminated for good."""
+    """A new control node starts, then an old one is terminated permanently."""
     world = scenario.world
     old = scenario.pick('core')
     name = f'core{10 + world.sequence}'
@@ -224,38 +224,38 @@
 @fault
 def after_ack_kill(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The control node that acknowledges a change loses power."""
-    return strike_after_acknowledgement(scenario, lambda node: scenario.kill_for(node, ms(3000), power=True))
+    return act_after_acknowledgement(scenario, lambda node: scenario.kill_for(node, ms(3000), power=True))
 
 
 @fault
 def after_ack_wipe(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """The control node that acknowledges a change loses its disk."""
-    return strike_after_acknowledgement(scenario, lambda node: wipe(scenario, node))
+    return act_after_acknowledgement(scenario, lambda node: wipe(scenario, node))
 
 
-def strike_after_acknowledgement(
-    scenario: 'open_days.Scenario', strike: typing.Callable[[simulated_node.Node], typing.Any]
+def act_after_acknowledgement(
+    scenario: 'open_days.Scenario', action: typing.Callable[[simulated_node.Node], typing.Any]
 ) -> datetime.timedelta:
-    """Do something to the machine that acknowledges the next change, within 4 ms."""
-    struck: list[str] = []
+    """Send a change, and call action(node) within 4 ms after a node acknowledges it or another change."""
+    affected: list[str] = []
 
-    def acknowledged(name: str) -> None:
-        """Strike the first node that acknowledges a change."""
-        if not struck:
-            struck.append(name)
+    def on_acknowledged(name: str) -> None:
+        """Schedule action for the first node that acknowledges a change."""
+        if not affected:
+            affected.append(name)
             node = scenario.world.nodes.get(name)
             if node:
-                scenario.later(ms(scenario.rng.uniform(0, 4)), strike, node)
+                scenario.later(ms(scenario.rng.uniform(0, 4)), action, node)
 
-    def over() -> None:
-        """Stop listening, and note a miss if no change was acknowledged."""
+    def stop_waiting() -> None:
+        """Remove the callback, and log a miss if no change was acknowledged."""
         scenario.deployment.on_acknowledged = None
-        if not struck:
+        if not affected:
             scenario.miss('after_ack')
 
-    scenario.deployment.on_acknowledged = acknowledged
+    scenario.deployment.on_acknowledged = on_acknowledged
     open_operators.change_timeout(scenario)
-    scenario.later(ms(5000), over)
+    scenario.later(ms(5000), stop_waiting)
     return ms(8000)
 
 
@@ -264,7 +264,7 @@
 
 @fault
 def clock_step(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The time of day jumps; processes do not read it, so that they only stand still for a moment."""
+    """The wall clock steps; processes do not read it, so the only effect is a pause of 1 to 50 ms."""
     for node in scenario.rng.sample(list(scenario.world.nodes.values()), max(1, len(scenario.world.nodes) // 3)):
         if node.up and node.paused is None:
             node.pause(ms(scenario.rng.uniform(1, 50)))
@@ -280,11 +280,11 @@
 
 @fault
 def seed_turnover(scenario: 'open_days.Scenario') -> datetime.timedelta:
-    """The seeds are exchanged for other machines; whoever restarts knows only the new ones."""
+    """The seeds are replaced by other machines; a process that restarts knows only the new ones."""
     world = scenario.world
     seeds = scenario.rng.sample([node.location.addr for node in world.nodes.values()], 3)
     for node in world.nodes.values():
-        # A running process is told of the new file; one that starts later reads it.
+        # A running process reloads its settings; a process that starts later reads the new seeds.
         if node.up and node.paused is None:
             node.feed('settings', dataclasses.replace(node.location, seeds=list(seeds)), world.settings)
         node.location.seeds = list(seeds)
--- a/zinctrail/simulation/faults/operators.py
+++ b/zinctrail/simulation/faults/operators.py
@@ -1,4 +1,4 @@
-"""Faults and orders of operators: evacuations, conflicting, invalid and large changes, lost replies."""
+"""Commands and faults of operators: evacuations, conflicting, invalid and large changes, lost responses."""
 
 import copy
 import datetime
@@ -15,12 +15,12 @@
 ms = durations.ms
 fault = registry.CLIENT.register
 
-LARGE_CONFIG_LABELS = 4000
+LARGE_CONFIG_LABEL_COUNT = 4000
 
 
 @fault
 def evacuate(scenario: 'days.Scenario') -> datetime.timedelta:
-    """A cell is evacuated and taken back."""
+    """A zone is evacuated, and the evacuation ends ten seconds later."""
     cell = scenario.rng.choice(scenario.deployment.cells)
     scenario.deployment.operator.evacuate(cell)
     scenario.later(ms(10000), scenario.deployment.operator.evacuate, cell, False)
@@ -29,7 +29,7 @@
 
 @fault
 def homes_change(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Callers repeat an id by hand with other home regions than they first gave."""
+    """Callers retry a request id with home regions that differ from those of its first attempt."""
     for caller in scenario.deployment.callers:
         for _ in range(12):
             scenario.later(ms(scenario.rng.uniform(0, 6000)), _repeat_with_other_homes, scenario, caller)
@@ -37,7 +37,7 @@
 
 
 def _repeat_with_other_homes(scenario: 'days.Scenario', caller: caller_actor.Caller) -> None:
-    """Send three attempts of one request id by hand, each with a random home region."""
+    """Send three attempts of one request id directly to proxies, each with a random home region."""
     if not caller.library.lookup_result:
         return
     request_id = caller.new_request_id()
@@ -59,7 +59,7 @@
 
 @fault
 def apply_lost(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An operator asks again with the same id while replies are lost, and another changes things between."""
+    """An operator retries changes with the same id while responses are lost; another operator's changes interleave."""
     scenario.world.reply_loss['op0'] = 0.7
     for number in range(4):
         one = operator_actor.Operator(scenario.deployment, 'op0')
@@ -78,7 +78,7 @@
 
 @fault
 def move_pool(scenario: 'days.Scenario') -> datetime.timedelta:
-    """A pool's selector goes from everywhere to one cell and back."""
+    """A pool's selector changes from all zones to one zone and back."""
     service = scenario.rng.choice(sorted(scenario.shape['services']))
     cells = {endpoint.cell for endpoint in scenario.deployment.endpoints if endpoint.service == service}
     cell = scenario.rng.choice(sorted(cells))
@@ -90,7 +90,7 @@
 
 @fault
 def operators_collide(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Two operators set the same label to the same value at once, again and again."""
+    """Two operators repeatedly set the same label to the same value at the same time."""
 
     def collide(number: int) -> None:
         """Let both operators set the same label, and schedule the next collision."""
@@ -106,10 +106,10 @@
 
 @fault
 def invalid_config(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Configurations with an invalid rule are applied."""
+    """An operator applies configurations with an invalid rule."""
 
     def apply(document: dict | None) -> None:
-        """Apply what was read with a rule that names no pool."""
+        """Apply the configuration that was read, with a rule whose pool does not exist."""
         if document:
             config = copy.deepcopy(document['config'])
             label(config, '10.9.9.200:1', half='applied')
@@ -122,8 +122,8 @@
 
 @fault
 def large_config(scenario: 'days.Scenario') -> datetime.timedelta:
-    """Thousands of labels are added and dropped."""
-    labels = {f'10.8.{number >> 8}.{number & 255}:1': {'note': 'x' * 100} for number in range(LARGE_CONFIG_LABELS)}
+    """Four thousand labels are added and later dropped."""
+    labels = {f'10.8.{number >> 8}.{number & 255}:1': {'note': 'x' * 100} for number in range(LARGE_CONFIG_LABEL_COUNT)}
     operator = scenario.deployment.operator
     operator.change(lambda config: config['labels'].update(labels))
     scenario.later(ms(6000), operator.change, lambda config: [config['labels'].pop(name, None) for name in labels])
--- a/zinctrail/simulation/faults/processes.py
+++ b/zinctrail/simulation/faults/processes.py
@@ -24,39 +24,39 @@
     return ms(5000)
 
 
-def strike_leader(
-    scenario: simulated_scenario.Scenario, strike: typing.Callable[[simulated_node.Node], typing.Any]
+def act_on_leader(
+    scenario: simulated_scenario.Scenario, action: typing.Callable[[simulated_node.Node], typing.Any]
 ) -> None:
-    """Do something to whoever leads a moment after the other faults began."""
+    """Call action(leader) with the node that leads 20 to 1500 ms from now, amid the faults that began together."""
 
-    def hit() -> None:
-        """Strike the leader, or note a miss if there is none."""
+    def act_on_current_leader() -> None:
+        """Call action with the leader, or log a miss if there is none."""
         leader = scenario.world.leader()
         if leader:
-            strike(leader)
+            action(leader)
         else:
             scenario.miss('at_master')
 
-    scenario.later(ms(scenario.rng.uniform(20, 1500)), hit)
+    scenario.later(ms(scenario.rng.uniform(20, 1500)), act_on_current_leader)
 
 
 @fault
 def kill_master_amid(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader is killed while other faults are under way."""
-    strike_leader(scenario, lambda leader: scenario.kill_for(leader, ms(5000)))
+    """The leader is killed while other faults are in progress."""
+    act_on_leader(scenario, lambda leader: scenario.kill_for(leader, ms(5000)))
     return ms(7000)
 
 
 @fault
 def freeze_master_amid(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader stands still while other faults are under way."""
-    strike_leader(scenario, lambda leader: leader.pause(ms(scenario.rng.uniform(500, 5000))))
+    """The leader is paused while other faults are in progress."""
+    act_on_leader(scenario, lambda leader: leader.pause(ms(scenario.rng.uniform(500, 5000))))
     return ms(7000)
 
 
 @fault
 def one_way_amid(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader is heard and hears nobody, or the other way round."""
+    """The leader's links are cut in one direction: either all that it sends is lost, or all that is sent to it."""
     is_outward = scenario.rng.random() < 0.5
 
     def cut(leader: simulated_node.Node) -> None:
@@ -67,14 +67,14 @@
                 scenario.world.cut(*link, both=False)
         scenario.later(ms(5000), scenario.world.heal)
 
-    strike_leader(scenario, cut)
+    act_on_leader(scenario, cut)
     return ms(7000)
 
 
 @fault
 def masters_in_turn(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Whoever leads is killed, four times over."""
-    scenario.repeat(4, ms(1800), strike_leader, scenario, lambda leader: scenario.kill_for(leader, ms(2500)))
+    """The current leader is killed, four times in succession."""
+    scenario.repeat(4, ms(1800), act_on_leader, scenario, lambda leader: scenario.kill_for(leader, ms(2500)))
     return ms(11000)
 
 
@@ -129,7 +129,7 @@
 
 @fault
 def graceful_keeper(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A directory, which owns credit ledgers, shuts down gracefully."""
+    """A directory, which holds credit ledgers, shuts down gracefully."""
     node = scenario.pick('dir')
     node.feed('stop')
     scenario.restart(node, ms(5000))
@@ -138,14 +138,14 @@
 
 @fault
 def freeze_proxy(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A proxy stands still."""
+    """A proxy is paused."""
     scenario.pick('prox').pause(ms(scenario.rng.uniform(1000, 9000)))
     return ms(9000)
 
 
 @fault
 def freeze_dirs(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """Every directory stands still for a while, one after another; it serves what was asked when it resumes."""
+    """All directories are paused, one after another; each serves the calls that arrived meanwhile when it resumes."""
     directories = scenario.world.of('dir')
     for number, node in enumerate(directories):
         scenario.later(
@@ -156,7 +156,7 @@
 
 @fault
 def freeze_master(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """The leader stands still."""
+    """The leader is paused."""
     leader = scenario.world.leader()
     if leader:
         leader.pause(ms(scenario.rng.uniform(500, 6000)))
@@ -165,13 +165,13 @@
 
 @fault
 def replace_core(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
-    """A control node is lost for good; an empty one comes at a new address."""
+    """A control node is lost permanently; a new one with an empty disk starts at a new address."""
     world = scenario.world
     old = scenario.pick('core')
     old.kill()
     name = f'core{10 + world.sequence}'
     new = world.add(name, 'core', old.location.cell, old.location.seeds, first_start=False)
     scenario.later(ms(2000), new.start)
-    # Removed from the world, so that no other fault starts it again.
+    # Removed from the world, so that no other fault restarts it.
     scenario.later(ms(2000), lambda: world.nodes.pop(old.name))
     return ms(4000)
--- a/zinctrail/simulation/faults/registry.py
+++ b/zinctrail/simulation/faults/registry.py
@@ -1,4 +1,4 @@
-"""The registries of faults: from the name that the command takes to the function that begins the fault."""
+"""The registries of faults: they map the names that the commands take to the functions that inject the faults."""
 
 import re
 import typing
@@ -15,11 +15,11 @@
         return function
 
 
-# Days of callers that use the client library, and days of open traffic.
+# The faults of scenarios of the client library, and of scenarios of open traffic.
 CLIENT = Registry()
 OPEN = Registry()
 
 
 def names_of(group: str) -> list[str]:
-    """The faults of one group, such as a+b:c, in their order."""
+    """Return the names of the faults in a group such as a+b:c, in their order."""
     return re.split('[+:]', group)
--- a/zinctrail/simulation/faults/stale_views.py
+++ b/zinctrail/simulation/faults/stale_views.py
@@ -1,4 +1,4 @@
-"""Faults that let a proxy act on a stale view: it is cut off, and then something near it changes."""
+"""Faults that make a proxy act on a stale view: the proxy is cut off, and then the state of its zone changes."""
 
 import datetime
 import typing
@@ -21,7 +21,7 @@
 def cut_off_near_endpoint(
     scenario: 'days.Scenario', length: datetime.timedelta = CUT_SPAN
 ) -> tuple[str, endpoint_actor.Endpoint]:
-    """Cut a proxy off; returns its cell and an endpoint near it whose service needs no claims."""
+    """Cut a proxy off; return its zone and an endpoint, preferably in that zone, whose service needs no claims."""
     cell = network_faults.cut_proxy_off(scenario, length).location.cell
     endpoints = [
         endpoint
@@ -34,7 +34,7 @@
 
 @fault
 def stale_drain(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint near the proxy drains."""
+    """An endpoint near the cut-off proxy drains."""
     _, endpoint = cut_off_near_endpoint(scenario)
     endpoint.set_state('draining')
     scenario.later(ms(9000), endpoint.kill)
@@ -44,8 +44,8 @@
 
 @fault
 def stale_gone(scenario: 'days.Scenario') -> datetime.timedelta:
-    """An endpoint near the proxy lives on, cut off from those who take its heartbeats or probe it."""
-    # Longer than the other cuts: the endpoint is declared gone only once its heartbeats have been missed.
+    """An endpoint near the cut-off proxy is cut off from control nodes and directories, and continues to run."""
+    # Longer than the other cuts: the endpoint is removed only after its heartbeats have been missed.
     _, endpoint = cut_off_near_endpoint(scenario, ms(13000))
     endpoint_faults.cut_heartbeats(scenario, endpoint)
     return ms(14000)
@@ -53,14 +53,14 @@
 
 @fault
 def stale_passed_on(scenario: 'days.Scenario') -> datetime.timedelta:
-    """The address of an endpoint near the proxy passes to another service at once."""
+    """The address of an endpoint near the cut-off proxy is reused at once by another service."""
     _, endpoint = cut_off_near_endpoint(scenario)
     return endpoint_faults.reuse_address(scenario, endpoint, ms(0))
 
 
 @fault
 def stale_move(scenario: 'days.Scenario') -> datetime.timedelta:
-    """The pool of an endpoint near the proxy moves to another region."""
+    """The pool of an endpoint near the cut-off proxy moves to another region."""
     cell, endpoint = cut_off_near_endpoint(scenario)
     far = next(other for other in scenario.deployment.cells if other.split('/')[0] != cell.split('/')[0])
     operator = scenario.deployment.operator
@@ -71,7 +71,7 @@
 
 @fault
 def stale_evacuate(scenario: 'days.Scenario') -> datetime.timedelta:
-    """The proxy's own cell is evacuated."""
+    """The zone of the cut-off proxy is evacuated."""
     cell, _ = cut_off_near_endpoint(scenario)
     scenario.deployment.operator.evacuate(cell)
     scenario.later(ms(9000), scenario.deployment.operator.evacuate, cell, False)
