--- a/zinctrail/simulation/cut_off/__init__.py
+++ b/zinctrail/simulation/cut_off/__init__.py
@@ -1,7 +1,7 @@
-"""A control node out of touch for some twenty seconds, with callers that ask that very node all the while.
+"""Trials of a control node without contact to a majority for about twenty seconds, while callers call that node.
 
-A trial (`trial`) has one fault (`faults`) in the deployment of open traffic.
+A trial (`trial`) injects one fault (`faults`) into a deployment of open traffic.
 Callers (`callers`) send every kind of control call to the affected node and to
-the others, each call once, and note what was answered; the checkers
-(`checkers`) judge from these notes alone.
+the others, each call once, and record the responses; the checkers (`checkers`)
+judge the trial by these records alone.
 """
--- a/zinctrail/simulation/cut_off/checkers.py
+++ b/zinctrail/simulation/cut_off/checkers.py
@@ -1,7 +1,7 @@
-"""What must hold around a control node out of touch, judged from what callers noted.
+"""Checkers of trials: the guarantees that hold around a control node without contact, judged by the callers' records.
 
-Each checker takes a trial that was run and returns what it found wrong, a
-sentence each.
+Each checker takes a finished trial and returns its violations, one sentence
+each.
 """
 
 import collections
@@ -18,55 +18,55 @@
 
 ms = durations.ms
 
-# The most characters of a call in a verdict.
+# The maximum length of a call's description in a verdict.
 DESCRIPTION_LENGTH = 300
 SHORT_DESCRIPTION_LENGTH = 120
 
 
 class Span(typing.NamedTuple):
-    """A time in which a caller takes itself to hold the lock."""
+    """A span in which a caller believes that it holds the lock."""
 
     start: datetime.timedelta
     end: datetime.timedelta
 
 
 class Grant(typing.NamedTuple):
-    """A fencing token that a caller was given."""
+    """A lock call that returned a fencing token."""
 
-    sent: datetime.timedelta
-    answered: datetime.timedelta
+    sent_at: datetime.timedelta
+    responded_at: datetime.timedelta
     fencing_token: int
 
 
 def describe(call: Call) -> str:
-    """A call in words."""
-    sent = durations.to_ms(call.sent)
-    text = f'{call.kind} at {call.node}, sent {sent}, took {call.took()}: {call.status} {call.body}'
+    """Return a description of a call."""
+    sent_at = durations.to_ms(call.sent_at)
+    text = f'{call.kind} at {call.node}, sent {sent_at}, took {call.latency_ms()}: {call.status} {call.body}'
     return text[:DESCRIPTION_LENGTH]
 
 
 def acknowledged_changes(trial: Trial) -> list[Call]:
-    """The changes that were acknowledged to their callers."""
+    """Return the changes that were acknowledged to their callers."""
     return [call for call in trial.calls if call.kind is Kind.CHANGE and call.status == 200]
 
 
 def stale_reads(trial: Trial) -> list[str]:
-    """No answer is older than the newest change acknowledged anywhere before it was asked for."""
+    """Return reads whose response is older than the newest change acknowledged by any node before the read was sent."""
     found = []
     acknowledged = acknowledged_changes(trial)
     for call in trial.calls:
         if call.kind is not Kind.READ or call.status != 200:
             continue
-        newest = max((change.value for change in acknowledged if change.answered < call.sent), default=0)
+        newest = max((change.value for change in acknowledged if change.responded_at < call.sent_at), default=0)
         pools = call.body['items']['pools']
-        version = max((row['version'] for row in pools if row['name'] == callers.MARK), default=0)
+        version = max((row['version'] for row in pools if row['name'] == callers.MARKER_POOL), default=0)
         if version < newest:
             found.append(f'{newest} was acknowledged: {describe(call)[:SHORT_DESCRIPTION_LENGTH]}')
     return found
 
 
 def refused_calls(trial: Trial) -> list[str]:
-    """No valid call gets a 4xx, but a lock that another may hold."""
+    """Return calls that got a 4xx although all are valid, except a 409 for a lock that another caller may hold."""
     return [
         describe(call)
         for call in trial.calls
@@ -75,44 +75,44 @@
 
 
 def lost_changes(trial: Trial) -> list[str]:
-    """What was acknowledged stands at every control node in the end."""
+    """Return acknowledged changes that are missing at a control node at the end of the trial."""
     return [
-        f'{name} lacks what was acknowledged: {describe(call)}'
+        f'{name} lacks an acknowledged change: {describe(call)}'
         for name, items in trial.final_items.items()
         for call in acknowledged_changes(trial)
-        if f'pools/{callers.kept_pool(call.value)}' not in items
+        if f'pools/{callers.pool_of_change(call.value)}' not in items
     ]
 
 
-def expired_answers(trial: Trial) -> list[str]:
-    """Nobody is sent to a proxy that left longer ago than a node may be out of touch."""
-    if trial.left_at is None:
-        return ['the proxy that was to leave never left']
-    limit = trial.left_at + trial.world.settings.touch
-    front = trial.leaving_proxy.location.front
+def expired_lookups(trial: Trial) -> list[str]:
+    """Return lookup responses with a proxy that left longer ago than a node may act without contact."""
+    if trial.proxy_removed_at is None:
+        return ['the leaving proxy was never removed from the state']
+    limit = trial.proxy_removed_at + trial.world.settings.touch
+    ingress = trial.leaving_proxy.location.front
     return [
         describe(call)
         for call in trial.calls
-        if call.kind is Kind.LOOKUP and call.status == 200 and call.sent > limit and front in call.body['proxies']
+        if call.kind is Kind.LOOKUP and call.status == 200 and call.sent_at > limit and ingress in call.body['proxies']
     ]
 
 
 def two_holders(trial: Trial) -> list[str]:
-    """A lock has one holder at a time, and its fencing tokens only rise."""
+    """Return times at which two callers held the lock, and fencing tokens that did not increase."""
     spans: dict[str, list[Span]] = collections.defaultdict(list)
     grants = []
     for call in trial.calls:
         if call.kind is Kind.LOCK and call.status == 200:
-            # A holder counts its time from when it asked, and from the answer on it acts.
-            spans[call.value].append(Span(call.answered, call.sent + ms(callers.LOCK_MS)))
-            grants.append(Grant(call.sent, call.answered, call.body['fence']))
+            # The lease counts from the sending of the call; the holder acts on it from the response on.
+            spans[call.value].append(Span(call.responded_at, call.sent_at + ms(callers.LOCK_LEASE_MS)))
+            grants.append(Grant(call.sent_at, call.responded_at, call.body['fence']))
         elif call.kind is Kind.LOCK_RELEASE:
-            spans[call.value] = [Span(span.start, min(span.end, call.sent)) for span in spans[call.value]]
-    return overlaps(spans) + falling_tokens(grants)
+            spans[call.value] = [Span(span.start, min(span.end, call.sent_at)) for span in spans[call.value]]
+    return overlaps(spans) + decreasing_tokens(grants)
 
 
 def overlaps(spans: dict[str, list[Span]]) -> list[str]:
-    """Times in which two callers take themselves to hold the lock, by {caller: spans}."""
+    """Return the times at which two callers believed that they held the lock, from {caller: spans}."""
     found = []
     names = sorted(spans)
     for index, name in enumerate(names):
@@ -126,31 +126,33 @@
     return found
 
 
-def falling_tokens(grants: list[Grant]) -> list[str]:
-    """Fencing tokens that are below one given before they were asked for."""
+def decreasing_tokens(grants: list[Grant]) -> list[str]:
+    """Return fencing tokens that are lower than one granted before they were requested."""
     return [
-        f'fence {earlier.fencing_token} came before {grant.fencing_token}'
+        f'fencing token {earlier.fencing_token} was granted before {grant.fencing_token}'
         for grant in grants
         for earlier in grants
-        if earlier.answered < grant.sent and earlier.fencing_token > grant.fencing_token
+        if earlier.responded_at < grant.sent_at and earlier.fencing_token > grant.fencing_token
     ]
 
 
-def late_answers(trial: Trial) -> list[str]:
-    """The affected node answers within a bound of noticing, and sooner than its callers leave."""
+def late_responses(trial: Trial) -> list[str]:
+    """Return calls that an affected node did not respond to within the time limit of the fault."""
     return [
         describe(call)
         for call in trial.calls
-        if call.affected and trial.began <= call.sent < trial.ended and not trial.is_in_time(call)
+        if call.is_affected
+        and trial.fault_began_at <= call.sent_at < trial.fault_ended_at
+        and not trial.is_in_time(call)
     ]
 
 
-# The names are those of cut_off.feature.
+# The names of checkers in cut_off.feature.
 CHECKERS = {
     'stale': stale_reads,
     'refused': refused_calls,
     'lost': lost_changes,
-    'expired': expired_answers,
+    'expired': expired_lookups,
     'two holders': two_holders,
-    'late': late_answers,
+    'late': late_responses,
 }
