--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -155,15 +155,15 @@
 
 @behave.then('there were refusals by 409, and {most:d} or more orders at once')
 def run_has_refusals_and_overlap(context, most: int):
-    statuses = [answer.status for order in context.run.orders for answer in order.answers]
+    statuses = [response.status for order in context.run.commands for response in order.responses]
     assert 409 in statuses and 200 in statuses, statuses
-    assert context.run.most_under_way >= most, context.run.most_under_way
+    assert context.run.max_in_progress >= most, context.run.max_in_progress
 
 
 @behave.then('digests were forgotten, and all that went wrong is that overtaken versions were free again')
 def run_violates_only_forgotten_digests(context):
     leader = context.run.world.leader().machine
     assert leader.replica.get(version_contents.TABLE, version_contents.COMPLETE) is False
-    forgotten = ('contents were acknowledged', 'was refused for its number, and acknowledged')
+    forgotten = ('contents were acknowledged', 'was refused for its version, and acknowledged')
     others = [text for text in context.run.violations if not text.endswith(forgotten)]
     assert not others, others
--- a/zinctrail/simulation/orders/__init__.py
+++ b/zinctrail/simulation/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Operators who race under one version and send again while the core fails, and what must hold of their orders."""
+"""Runs in which operators send competing commands under the same version while control nodes fail, and their checks."""
--- a/zinctrail/simulation/orders/order.py
+++ b/zinctrail/simulation/orders/command.py
@@ -1,4 +1,4 @@
-"""Operators' orders: changes of rules and pools, with what was answered to them."""
+"""Operators' commands: changes of rules and pools, with the responses to them."""
 
 import datetime
 import json
@@ -7,43 +7,43 @@
 
 import zinctrail.simulation.open_actors.terms as terms
 
-# The share of answers to operators that are lost.
+# The share of responses to operators that are lost.
 REPLY_LOSS = 0.5
 RULES = 6
 POOLS = 3
 FIRST_VERSION = 100
 REMOVE_RULE_SHARE = 0.2
-# Below the first a pool is set, from there to the second one is removed.
+# Thresholds of a random draw: below the first a pool is set; from there up to the second one is removed.
 SET_POOL_BELOW, REMOVE_POOL_BELOW = 0.3, 0.4
 
 
 class ItemChange(typing.NamedTuple):
-    """What an order does to one configuration item."""
+    """The change of one configuration item by a command."""
 
     key: str
     version: int
-    # None where the item is removed.
+    # None if the item is removed.
     row: dict | None
 
 
 class Response(typing.NamedTuple):
-    """What was answered to one copy of an order."""
+    """The response to one copy of a command."""
 
-    sent: datetime.timedelta
-    answered: datetime.timedelta
+    sent_at: datetime.timedelta
+    responded_at: datetime.timedelta
     status: int
 
 
-class Order:
-    """A change with what was answered to each time it was sent."""
+class Command:
+    """A change of configuration items, with the response to each copy that was sent."""
 
     def __init__(self, document: dict):
         self.document = document
         self.body = json.dumps(document).encode()
-        self.answers: list[Response] = []
+        self.responses: list[Response] = []
 
     def items(self) -> list[ItemChange]:
-        """What it does, item by item."""
+        """Return the changes of the single items."""
         found = []
         for kind in ('rules', 'pools'):
             for row in self.document['set'].get(kind, ()):
@@ -53,23 +53,23 @@
         return found
 
     def acknowledgements(self) -> list[Response]:
-        """The answers that say that it was done."""
-        return [answer for answer in self.answers if answer.status == 200]
+        """Return the responses with status 200."""
+        return [response for response in self.responses if response.status == 200]
 
     def __repr__(self) -> str:
         items = [(item.key, item.version) for item in self.items()]
-        return f'{items} {[answer.status for answer in self.answers]}'
+        return f'{items} {[response.status for response in self.responses]}'
 
 
 class Changes:
-    """Draws changes of rules and pools whose versions are near the newest, so that operators meet under one number."""
+    """Draws changes whose versions are close to the newest, so that operators' changes collide under one version."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.version = FIRST_VERSION
 
     def draw(self) -> dict:
-        """The body of a change."""
+        """Return the body of a random change."""
         self.version += self.rng.choice((0, 0, 1, 2))
         version = self.version - self.rng.choice((0, 0, 0, 1, 5))
         document: dict = {'set': {'rules': [], 'pools': []}, 'drop': {'rules': [], 'pools': []}}
@@ -79,14 +79,14 @@
         return document
 
     def draw_rule(self, document: dict, name: str, version: int) -> None:
-        """Set or remove a rule."""
+        """Add the setting or the removal of a rule to a change."""
         if self.rng.random() < REMOVE_RULE_SHARE:
             document['drop']['rules'].append({'name': name, 'version': version})
         else:
             document['set']['rules'].append(self.rule(name, version))
 
     def draw_pool(self, document: dict, version: int) -> None:
-        """Set or remove a pool, or neither."""
+        """Add the setting or the removal of a pool to a change, or neither."""
         drawn = self.rng.random()
         name = f'pool{self.rng.randrange(POOLS)}'
         if drawn < SET_POOL_BELOW:
@@ -96,7 +96,7 @@
             document['drop']['pools'].append({'name': name, 'version': version})
 
     def rule(self, name: str, version: int) -> dict:
-        """A rule with some of its content drawn."""
+        """Return a rule with a random pool and timeout."""
         pools = [*sorted(terms.SERVICES), *(f'pool{number}' for number in range(POOLS))]
         return {
             'name': name,
--- a/zinctrail/simulation/orders/control_faults.py
+++ b/zinctrail/simulation/orders/control_faults.py
@@ -8,26 +8,26 @@
 
 
 class ControlFaults:
-    """Kills, freezes and wipes control nodes, one strike after another."""
+    """Kills, pauses and wipes control nodes, one fault after another."""
 
     def __init__(self, world: open_world.World):
         self.world, self.rng = world, world.rng
         self.is_over = False
 
-    def strike(self) -> None:
-        """One fault now, and the next a while later."""
+    def inject_next(self) -> None:
+        """Inject a random fault now, and schedule the next in 4.5 to 6.5 seconds."""
         if self.is_over:
             return
         fault = self.rng.choice((self.kill_leader, self.freeze_one, self.freeze_one, self.wipe_one, self.power_off_all))
         fault()
-        self.world.after(ms(self.rng.uniform(4500, 6500)), self.strike)
+        self.world.after(ms(self.rng.uniform(4500, 6500)), self.inject_next)
 
     def running_nodes(self) -> list[simulated_node.Node]:
-        """The control nodes that are up and not frozen."""
+        """Return the control nodes that are up and not paused."""
         return [node for node in self.world.of('core') if node.up and node.paused is None]
 
     def start_later(self, node: simulated_node.Node, after_ms: float) -> None:
-        """Start a node again, unless it is up by then."""
+        """Restart a node after `after_ms`, unless it is up by then."""
 
         def start():
             if not node.up:
@@ -36,19 +36,19 @@
         self.world.after(ms(after_ms), start)
 
     def kill_leader(self) -> None:
-        """End the leader, half of the time with a loss of power; it starts again later."""
+        """Kill the leader, half of the time by a power loss; it restarts within two seconds."""
         leader = self.world.leader()
         if leader:
             leader.kill(power=self.rng.random() < 0.5)
             self.start_later(leader, self.rng.uniform(200, 2000))
 
     def freeze_one(self) -> None:
-        """Let one node stand still."""
+        """Pause a random control node for 0.3 to 3.5 seconds."""
         if self.running_nodes():
             self.rng.choice(self.running_nodes()).pause(ms(self.rng.uniform(300, 3500)))
 
     def wipe_one(self) -> None:
-        """Empty a follower's disk: a whole snapshot is sent to it when it is back."""
+        """Wipe a follower's disk, so that the leader sends it a full snapshot when it restarts."""
         followers = [node for node in self.running_nodes() if node is not self.world.leader()]
         if len(followers) < len(self.world.of('core')) - 1 or not self.world.leader():
             return
@@ -58,7 +58,7 @@
         self.start_later(node, 500)
 
     def power_off_all(self) -> None:
-        """All nodes lose power at once; each starts again later."""
+        """Cut the power of all control nodes at once; each restarts within 1.5 seconds."""
         for node in self.world.of('core'):
             node.kill(power=True)
             self.start_later(node, self.rng.uniform(200, 1500))
--- a/zinctrail/simulation/orders/evacuations.py
+++ b/zinctrail/simulation/orders/evacuations.py
@@ -1,18 +1,18 @@
-"""Operators who evacuate zones and return them, and look whether that stays in force."""
+"""Operators that evacuate zones and return them to service, and check that each acknowledged state stays in force."""
 
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.orders.order as operator_order
+import zinctrail.simulation.orders.command as operator_command
 
 ms = durations.ms
 
 EVACUATION_LIMIT = ms(8000)
-# How long an operator waits for an evacuation before the next one; a late copy would act in that time.
-SETTLE = ms(2500)
+# The pause between an operator's commands; a delayed copy of the last command would take effect in that time.
+SETTLE_TIME = ms(2500)
 
 
 class Evacuations:
-    """One operator a zone: an evacuation, a while to see that it stays, its return, and so on."""
+    """One operator per zone, which alternates between evacuating it and returning it, with a check after each."""
 
     def __init__(self, deployment: open_deployment.Deployment, violations: list[str]):
         self.deployment, self.world = deployment, deployment.world
@@ -21,36 +21,36 @@
         self.is_over = False
 
     def start(self) -> None:
-        """Begin in all zones."""
+        """Start the operators of all zones."""
         for zone in self.deployment.cells:
             self.evacuate(zone, True)
 
     def evacuate(self, zone: str, is_evacuated: bool) -> None:
-        """Evacuate a zone, or return it, and then the opposite."""
+        """Evacuate a zone or return it to service, then do the opposite, and so on."""
         if self.is_over:
             return
         self.count += 1
         operator = f'zones-{zone}'
 
-        def answered(answer: open_deployment.Response):
-            self.world.after(SETTLE, settled, answer.status)
+        def on_response(response: open_deployment.Response):
+            self.world.after(SETTLE_TIME, on_settled, response.status)
 
-        def settled(status: int):
+        def on_settled(status: int):
             if status == 200:
                 self.check(zone, is_evacuated)
             self.evacuate(zone, not is_evacuated)
 
         body = {'cell': zone, 'on': is_evacuated}
-        self.deployment.ask(operator, 'POST', '/v1/cell/empty', lambda: body, answered, EVACUATION_LIMIT)
-        self.world.reply_loss[operator] = operator_order.REPLY_LOSS
+        self.deployment.ask(operator, 'POST', '/v1/cell/empty', lambda: body, on_response, EVACUATION_LIMIT)
+        self.world.reply_loss[operator] = operator_command.REPLY_LOSS
 
     def check(self, zone: str, is_evacuated: bool) -> None:
-        """What was acknowledged last is in force."""
+        """Check that the last acknowledged state of a zone is in force at the leader."""
         leader = self.world.leader()
         if leader is None:
             return
         row = leader.machine.replica.latest('cells', zone) or {}
         if bool(row.get('emptied')) != is_evacuated:
             self.violations.append(
-                f'{zone}: {is_evacuated} was acknowledged last, and {not is_evacuated} is in force at {self.world.now}'
+                f'{zone}: evacuated={is_evacuated} was acknowledged last, {not is_evacuated} in force at {self.world.now}'
             )
