--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -121,7 +121,7 @@
 @behave.when('a claimed request is refused by its endpoint with {left:d} ms left and every core dies')
 def claimed_request_is_refused(context, left: int):
     for endpoint in context.deployment.endpoints:
-        endpoint.refuses, endpoint.work_ms = True, (300, 300)
+        endpoint.refuses_all, endpoint.work_ms = True, (300, 300)
     context.deployment.stop_load(ms(1500))
     _, context.response = send_request(context, context.world.of('prox')[0], left)
     context.world.run(ms(150))
@@ -265,7 +265,7 @@
     response = wait_for(context, context.response)
     assert response.status in (200, 404, 500) and response.headers['zt-outcome'] == 'ran', response
     assert response.document['id'] == context.request_id, response
-    assert sum(run.id == context.request_id for run in context.deployment.notes.runs) == 1
+    assert sum(run.id == context.request_id for run in context.deployment.records.runs) == 1
 
 
 @behave.when('a change is accepted and another is asked for with its id')
--- a/zinctrail/simulation/actors/application.py
+++ b/zinctrail/simulation/actors/application.py
@@ -11,7 +11,7 @@
 import zinctrail.errors as errors
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.caller as caller_actor
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.observations as observations
 
 if typing.TYPE_CHECKING:
@@ -23,15 +23,15 @@
 KEYS = 3
 WATCH_WAIT = ms(2000)
 RETRY_AFTER = ms(200)
-# How long an application waits before it watches on, in ms: sometimes long, since history must reach back for 20 s.
+# Pauses before the next watch, in ms. The long one checks that the history of events reaches back for 20 s.
 WATCH_PAUSES_MS = (0, 0, 500, 18000)
 
 
 class Application:
-    """Works in five loops at once until it is switched off.
+    """Runs five concurrent loops of calls until it is switched off.
 
-    :param every: the mean pause of each loop.
-    :param lease: how long it takes locks for.
+    :param every: the mean pause between two iterations of each loop.
+    :param lease: the lease duration of its locks.
     """
 
     def __init__(
@@ -52,25 +52,25 @@
         fetcher = caller_actor.WorldFetcher(deployment, name)
         self.library = coordination.CoordinationClient(self.world, directories, fetcher, self.world.seconds, self.rng)
         self.lease = lease
-        # Values it has written, so that each is another.
+        # The number of values written so far; it makes each value unique.
         self.written = 0
         self.on = False
 
     def start(self) -> None:
-        """Begin all five loops; each ends once the application is switched off."""
+        """Start all five loops; each ends once the application is switched off."""
         self.on = True
         for loop in (self.use_locks, self.take_numbers, self.write_keys, self.read_keys, self.watch_keys):
             loop().addErrback(lambda reason: reason.trap(GeneratorExit))
 
     def pause(self) -> defer.Deferred:
-        """A Deferred that fires after a random pause around the mean."""
+        """Return a Deferred that fires after a random pause around the mean."""
         return self.library.sleep(self.every * self.rng.uniform(0.5, 1.5))
 
     # -- locks ----------------------------------------------------------------
 
     @defer.inlineCallbacks
     def use_locks(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take a lock, renew it a few times, and release it or let it lapse."""
+        """Acquire locks in a loop; renew each a few times, then release it or let its lease expire."""
         while self.on:
             lock = self.library.lock(f'lock{self.rng.randrange(LOCKS)}', self.name, self.lease)
             with contextlib.suppress(errors.CoordinationError):
@@ -79,33 +79,33 @@
 
     @defer.inlineCallbacks
     def use_lock(self, lock: coordination.Lock) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take one lock, renew it, and let it go."""
+        """Acquire a lock, renew it up to three times, then release it or let its lease expire."""
         is_mine = yield lock.acquire()
         for _ in range(self.rng.randrange(4)):
             if is_mine:
                 yield self.library.sleep(self.lease / 3)
-                self.believe(lock)
+                self.record_belief(lock)
                 is_mine = yield lock.acquire()
                 if not is_mine:
                     self.stop_believing(lock)
         if is_mine:
-            self.believe(lock)
+            self.record_belief(lock)
             if self.rng.random() < 0.7:
                 self.stop_believing(lock)
                 yield lock.release()
             else:
                 yield self.library.sleep(self.lease)
 
-    def believe(self, lock: coordination.Lock) -> None:
-        """Note that it believes in the lock until its lease ends."""
+    def record_belief(self, lock: coordination.Lock) -> None:
+        """Record that the application believes that it holds the lock until its lease ends."""
         if lock.is_held():
-            self.deployment.notes.locks.append(
+            self.deployment.records.locks.append(
                 observations.LockBelief(lock.name, self.name, lock.fencing_token, self.world.now, lock.expires_at)
             )
 
     def stop_believing(self, lock: coordination.Lock) -> None:
-        """From now on it does not believe in what it took, renewals included."""
-        for belief in self.deployment.notes.locks:
+        """End all spans in which the application believes that it holds the lock, renewals included."""
+        for belief in self.deployment.records.locks:
             if belief.name == lock.name and belief.holder == self.name:
                 belief.stop(self.world.now)
 
@@ -113,13 +113,13 @@
 
     @defer.inlineCallbacks
     def take_numbers(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Take the next number, again and again."""
+        """Take the next number of the counter in a loop."""
         while self.on:
-            operation = actor_notes.Operation('next', 'orders', self.world.now)
-            self.deployment.notes.numbers.append(operation)
+            operation = actor_records.Operation('next', 'orders', self.world.now)
+            self.deployment.records.numbers.append(operation)
             try:
                 operation.value = yield self.library.next_number('orders')
-                operation.answered_at = self.world.now
+                operation.responded_at = self.world.now
                 operation.result = 'ok'
             except errors.CoordinationError:
                 pass
@@ -128,10 +128,10 @@
     @defer.inlineCallbacks
     def operate(
         self, kind: str, key: str, value: str | None = None, expected_revision: int | None = None
-    ) -> typing.Generator[typing.Any, typing.Any, actor_notes.Operation]:
-        """One operation on a key: a Deferred of it, with what is known of its result."""
-        operation = actor_notes.Operation(kind, key, self.world.now, value=value, expected_revision=expected_revision)
-        self.deployment.notes.keys.append(operation)
+    ) -> typing.Generator[typing.Any, typing.Any, actor_records.Operation]:
+        """Perform one operation on a key; return a Deferred of its record, with the result as far as it is known."""
+        operation = actor_records.Operation(kind, key, self.world.now, value=value, expected_revision=expected_revision)
+        self.deployment.records.keys.append(operation)
         try:
             if kind == 'put':
                 operation.revision = yield self.library.put(key, value, expected_revision)
@@ -141,18 +141,18 @@
                 document = yield self.library.get(key)
                 operation.revision = document['rev']
                 operation.value = document['value']
-            operation.answered_at = self.world.now
+            operation.responded_at = self.world.now
             operation.result = 'ok'
         except errors.CoordinationError as error:
             if error.status in (404, 409):
-                operation.answered_at = self.world.now
+                operation.responded_at = self.world.now
                 operation.result = 'refused'
                 operation.revision = error.document.get('rev')
         return operation
 
     @defer.inlineCallbacks
     def write_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Put and remove keys, some of the writes on the revision that was just read."""
+        """Put and remove keys in a loop; some writes are conditional on the revision just read."""
         while self.on:
             key = f'k/{self.rng.randrange(KEYS)}'
             self.written += 1
@@ -168,14 +168,14 @@
 
     @defer.inlineCallbacks
     def read_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Read a random key, again and again."""
+        """Read random keys in a loop."""
         while self.on:
             yield self.operate('get', f'k/{self.rng.randrange(KEYS)}')
             yield self.pause()
 
     @defer.inlineCallbacks
     def watch_keys(self) -> typing.Generator[typing.Any, typing.Any, None]:
-        """Watch all keys, on and on from the last revision seen."""
+        """Watch all keys in a loop, each time from the last revision seen."""
         since = None
         since_at = None
         while self.on:
@@ -188,15 +188,15 @@
                     continue
                 yield self.library.sleep(ms(self.rng.choice(WATCH_PAUSES_MS)))
                 document = yield self.library.watch('k/', since, WATCH_WAIT)
-                watch = actor_notes.Watch('k/', since, since_at, sent_at, self.world.now)
+                watch = actor_records.Watch('k/', since, since_at, sent_at, self.world.now)
                 watch.head = document['head']
                 watch.events = document['events']
-                self.deployment.notes.watches.append(watch)
+                self.deployment.records.watches.append(watch)
                 since = watch.head
                 since_at = self.world.now
             except errors.CoordinationError as error:
                 if error.status == 410:
-                    watch = actor_notes.Watch('k/', since, since_at, sent_at, self.world.now, is_gone=True)
-                    self.deployment.notes.watches.append(watch)
+                    watch = actor_records.Watch('k/', since, since_at, sent_at, self.world.now, is_gone=True)
+                    self.deployment.records.watches.append(watch)
                     since = None
                 yield self.library.sleep(RETRY_AFTER)
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -25,19 +25,19 @@
     _add_configurations(deployment, maxima)
     _add_evacuations(deployment, maxima)
     _add_recoveries(deployment, maxima)
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         if not watch.is_gone and watch.since_at is not None:
-            maxima.add('history_ms', durations.to_ms(watch.answered_at - watch.since_at))
+            maxima.add('history_ms', durations.to_ms(watch.responded_at - watch.since_at))
     return dict(maxima)
 
 
 def _add_endpoints(deployment: client_deployment.Deployment, maxima: Maxima) -> None:
     """Add how long after it drained or was removed an endpoint was reached, and its overload while warming up."""
-    notes = deployment.notes
+    records = deployment.records
     drained = request_checkers.drained_at(deployment)
-    for arrival in notes.arrivals:
-        for name, times in (('drained_ms', drained), ('gone_ms', notes.gone)):
-            at = times.get(arrival.meant_for)
+    for arrival in records.arrivals:
+        for name, times in (('drained_ms', drained), ('gone_ms', records.gone)):
+            at = times.get(arrival.target_incarnation)
             if at is not None and arrival.at > at:
                 maxima.add(name, durations.to_ms(arrival.at - at))
         if arrival.capacity < deployment.endpoints[0].slots:
@@ -56,9 +56,9 @@
         # Runs that a later configuration allows again say nothing about this one.
         later = [apply for apply in accepted if apply.generation > new.generation]
         delays = [
-            run.at - new.answered_at
-            for run in deployment.notes.arrivals
-            if new.answered_at < run.at < new.answered_at + ms(5000)
+            run.at - new.responded_at
+            for run in deployment.records.arrivals
+            if new.responded_at < run.at < new.responded_at + ms(5000)
             and not configuration_checkers.is_allowed(new.config, run)
             and configuration_checkers.is_allowed(old.config, run)
             and not any(
@@ -73,7 +73,7 @@
     for evacuation, until in configuration_checkers.evacuations(deployment):
         delays = [
             arrival.at - evacuation.sent_at
-            for arrival in deployment.notes.arrivals
+            for arrival in deployment.records.arrivals
             if arrival.cell == evacuation.cell
             and arrival.at > evacuation.sent_at
             and (until is None or arrival.at < until)
@@ -85,6 +85,6 @@
     """Add how long after a loss each service ran requests again."""
     for loss in request_checkers.undisturbed_losses(deployment):
         for service in deployment.shape['services']:
-            times = [run.at for run in deployment.notes.runs if run.service == service and run.at > loss.at]
+            times = [run.at for run in deployment.records.runs if run.service == service and run.at > loss.at]
             if times:
                 maxima.add('back_ms', durations.to_ms(min(times) - loss.at))
--- a/zinctrail/simulation/checkers/open_configuration.py
+++ b/zinctrail/simulation/checkers/open_configuration.py
@@ -9,7 +9,7 @@
 import zinctrail.simulation.checkers.open_requests as open_requests
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
 ms = durations.ms
@@ -21,7 +21,7 @@
 REFUSED = (400, 409, 413, 422)
 
 
-def item_key(change: open_notes.Change) -> str:
+def item_key(change: open_records.Change) -> str:
     """Return the key of the item that a change sets or drops."""
     return change.key
 
@@ -31,12 +31,14 @@
 
     def __init__(self, deployment: open_deployment.Deployment) -> None:
         # Refused changes are left out: they must never be in force.
-        changes = [change for change in deployment.notes.changes if change.status not in REFUSED]
+        changes = [change for change in deployment.records.changes if change.status not in REFUSED]
         self.rows = registry.group_by(changes, item_key)
         for rows in self.rows.values():
             rows.sort(key=lambda change: change.version)
 
-    def candidates(self, key: str, at: datetime.timedelta, bound: datetime.timedelta | None) -> list[open_notes.Change]:
+    def candidates(
+        self, key: str, at: datetime.timedelta, bound: datetime.timedelta | None
+    ) -> list[open_records.Change]:
         """Return the changes that may apply to a request sent at `at`.
 
         An older version may apply until `bound` after the acknowledgement of a newer one; without end if it is None.
@@ -57,18 +59,18 @@
 
     @staticmethod
     def past_bound(
-        rows: typing.Iterable[open_notes.Change], at: datetime.timedelta, bound: datetime.timedelta
-    ) -> list[open_notes.Change]:
+        rows: typing.Iterable[open_records.Change], at: datetime.timedelta, bound: datetime.timedelta
+    ) -> list[open_records.Change]:
         """Return the changes that were acknowledged more than the bound ago."""
-        return [change for change in rows if change.status == 200 and change.answered_at + bound < at]
+        return [change for change in rows if change.status == 200 and change.responded_at + bound < at]
 
 
-def rule_key(attempt: open_notes.Attempt) -> str:
+def rule_key(attempt: open_records.Attempt) -> str:
     """Return the key of the rule that a request matches."""
     return f'rules/{attempt.request.rule}'
 
 
-def pools_of_all(changes: typing.Iterable[open_notes.Change]) -> set[str]:
+def pools_of_all(changes: typing.Iterable[open_records.Change]) -> set[str]:
     """Return the pools that any of these versions of a rule routes to."""
     return set().union(*(terms.pools_of(change.row) for change in changes))
 
@@ -78,7 +80,7 @@
     """A request runs at a service that no configuration ever sent allows, at whatever time it was sent."""
     findings = []
     allowed_pools = {key: pools_of_all(rows) for key, rows in RuleVersions(deployment).rows.items()}
-    for run in deployment.notes.runs:
+    for run in deployment.records.runs:
         attempt = open_requests.attempt_of(deployment, run)
         if attempt and run.service not in allowed_pools.get(rule_key(attempt), ()):
             findings.append(f'{run.id} of {attempt.request.rule} ran at {run.service}, which no configuration allows')
@@ -90,25 +92,25 @@
     """A request runs, or gets 404, as only an older version allows after the newer one has passed its bound."""
     findings = []
     versions = RuleVersions(deployment)
-    ran = open_requests.by_id(deployment.notes.runs)
-    for attempt in deployment.notes.attempts:
+    ran = open_requests.by_id(deployment.records.runs)
+    for attempt in deployment.records.attempts:
         sent_at = attempt.sent_at
-        front = attempt.front
+        proxy = attempt.proxy
         key = rule_key(attempt)
-        slack = deployment.contact.slack(front, attempt.answered_at or sent_at, sent_at - TERMS.config)
+        slack = deployment.contact.slack(proxy, attempt.responded_at or sent_at, sent_at - TERMS.config)
         if slack is None:
             continue
         bound = TERMS.config + slack
         candidates = versions.candidates(key, sent_at, bound)
         if not candidates:
             continue
-        subject = f'{attempt.id} of {attempt.request.rule}, sent at {seconds(sent_at)} to {front},'
+        subject = f'{attempt.id} of {attempt.request.rule}, sent at {seconds(sent_at)} to {proxy},'
         pools = pools_of_all(candidates)
         for run in ran.get(attempt.id, ()):
             if run.service not in pools:
                 in_force = [(change.version, sorted(terms.pools_of(change.row))) for change in candidates]
                 findings.append(f'{subject} ran at {run.service}; in force {in_force}')
-        has_no_rule = attempt.is_answered() and attempt.status == 404 and 'zt-id' not in attempt.headers
+        has_no_rule = attempt.has_response() and attempt.status == 404 and 'zt-id' not in attempt.headers
         if has_no_rule and versions.must_match(key, sent_at, bound):
             findings.append(f'{subject} got 404')
     return findings
@@ -121,8 +123,8 @@
     versions = RuleVersions(deployment)
     # {(ingress, incarnation, rule): [(time of a run, oldest version that allows the run)]}
     seen: dict[tuple[str, int, str], list[tuple[datetime.timedelta, int]]] = collections.defaultdict(list)
-    ran = open_requests.by_id(deployment.notes.runs)
-    for attempt in sorted(deployment.notes.attempts, key=lambda attempt: attempt.sent_at):
+    ran = open_requests.by_id(deployment.records.runs)
+    for attempt in sorted(deployment.records.attempts, key=lambda attempt: attempt.sent_at):
         key = rule_key(attempt)
         rows = versions.rows.get(key, ())
         if len(rows) < 2:
@@ -135,12 +137,12 @@
             ]
             if not allowing_versions:
                 continue
-            process = (attempt.front, attempt.front_incarnation, key)
+            process = (attempt.proxy, attempt.proxy_incarnation, key)
             earlier = [oldest for at, oldest in seen[process] if at + TERMS.revert * 8 < attempt.sent_at]
             floor = max(earlier, default=-1)
             if max(allowing_versions) < floor:
                 findings.append(
-                    f'{attempt.id} of {attempt.request.rule} by {attempt.front} at {seconds(run.at)}:'
+                    f'{attempt.id} of {attempt.request.rule} by {attempt.proxy} at {seconds(run.at)}:'
                     f' back from version {floor} to {max(allowing_versions)}'
                 )
             seen[process].append((run.at, min(allowing_versions)))
@@ -151,7 +153,7 @@
 def config_refused(deployment: open_deployment.Deployment) -> list[str]:
     """An invalid change is acknowledged, or a valid one is refused permanently."""
     findings = []
-    for change in deployment.notes.changes:
+    for change in deployment.records.changes:
         is_invalid = change.is_invalid
         status = change.status
         if is_invalid and status == 200:
@@ -161,10 +163,10 @@
     return findings
 
 
-def _is_contested(deployment: open_deployment.Deployment, refused: open_notes.Change) -> bool:
+def _is_contested(deployment: open_deployment.Deployment, refused: open_records.Change) -> bool:
     """True if a 409 is correct: an item of the call has a version that was also sent with another content."""
-    changes = deployment.notes.changes
-    items = [change for change in changes if change.order is refused.order]
+    changes = deployment.records.changes
+    items = [change for change in changes if change.command is refused.command]
     contents = {(change.key, change.version): change.row for change in items}
     return refused.status == 409 and any(
         contents.get((change.key, change.version), change.row) != change.row and change.status not in (400, 409)
@@ -176,7 +178,7 @@
 def config_one(deployment: open_deployment.Deployment) -> list[str]:
     """Two contents are acknowledged for one version of an item, or an acknowledged content is also refused."""
     contents: dict[tuple[str, int], list[dict | None]] = collections.defaultdict(list)
-    for change in deployment.notes.changes:
+    for change in deployment.records.changes:
         version = (change.key, change.version)
         if change.status == 200 and change.row not in contents[version]:
             contents[version].append(change.row)
@@ -186,7 +188,7 @@
         if len(rows) > 1
     ]
     statuses = collections.defaultdict(set)
-    for rows in registry.group_by(deployment.notes.changes, lambda change: id(change.order)).values():
+    for rows in registry.group_by(deployment.records.changes, lambda change: id(change.command)).values():
         items = str([(change.key, change.version, change.row) for change in rows])
         statuses[items].add(rows[0].status)
     return findings + [
@@ -200,11 +202,11 @@
 def config_kept(deployment: open_deployment.Deployment) -> list[str]:
     """A read returns an item that is not, unaltered, its newest acknowledged version or a newer one that was sent."""
     findings = []
-    notes = deployment.notes
-    changes = registry.group_by(notes.changes, item_key)
-    if notes.reads and notes.reads[-1].items is None:
+    records = deployment.records
+    changes = registry.group_by(records.changes, item_key)
+    if records.reads and records.reads[-1].items is None:
         findings.append('the last read of the items got no response')
-    for read in notes.reads:
+    for read in records.reads:
         if read.items is None:
             continue
         rows = {f'{part}/{row["name"]}': row for part in ('rules', 'pools') for row in read.items[part]}
@@ -214,14 +216,16 @@
     return findings
 
 
-def _not_kept(key: str, changes: list[open_notes.Change], row: dict | None, read: open_notes.Read) -> list[str]:
+def _not_kept(key: str, changes: list[open_records.Change], row: dict | None, read: open_records.Read) -> list[str]:
     """Return a finding if one item of a read is older than acknowledged, missing, or was never sent so."""
-    acknowledged = [change.version for change in changes if change.status == 200 and change.answered_at <= read.sent_at]
+    acknowledged = [
+        change.version for change in changes if change.status == 200 and change.responded_at <= read.sent_at
+    ]
     floor = max(acknowledged, default=-1)
     candidates = [
         change
         for change in changes
-        if change.sent_at <= read.answered_at and change.version >= floor and change.status not in REFUSED
+        if change.sent_at <= read.responded_at and change.version >= floor and change.status not in REFUSED
     ]
     if (floor < 0 and row is None) or any(change.row == row for change in candidates):
         return []
@@ -235,15 +239,15 @@
 def denied(deployment: open_deployment.Deployment) -> list[str]:
     """More than a few valid requests are refused with a client error."""
     versions = RuleVersions(deployment)
-    attempts = deployment.notes.attempts
+    attempts = deployment.records.attempts
     wrong = [
         attempt
         for attempt in attempts
-        if attempt.is_answered()
+        if attempt.has_response()
         and 300 <= attempt.status < 500
         and attempt.status not in (408, 421, 429)
         and 'zt-stamp' not in attempt.headers
-        and deployment.contact.is_strictly_bound(attempt.front, attempt.answered_at)
+        and deployment.contact.is_strictly_bound(attempt.proxy, attempt.responded_at)
         and versions.must_match(rule_key(attempt), attempt.sent_at, TERMS.config)
     ]
     if len(wrong) > 5 + len(attempts) / 500:
@@ -258,26 +262,26 @@
     findings = []
     drains = 0
     late_drains = 0
-    notes = deployment.notes
+    records = deployment.records
     contact = deployment.contact
     contested = {
-        id(change.order) for change in notes.changes if change.status == 409 and _is_contested(deployment, change)
+        id(change.command) for change in records.changes if change.status == 409 and _is_contested(deployment, change)
     }
-    for order in notes.orders:
-        if order.is_invalid or id(order) in contested:
+    for command in records.commands:
+        if command.is_invalid or id(command) in contested:
             continue
-        until = order.sent_at + TERMS.ack + ms(3) * order.size
-        end = order.answered_at if order.status == 200 else deployment.world.now
-        is_settled = open_contact.is_undisturbed(contact.control, order.sent_at - TERMS.contact, until)
+        until = command.sent_at + TERMS.ack + ms(3) * command.size
+        end = command.responded_at if command.status == 200 else deployment.world.now
+        is_settled = open_contact.is_undisturbed(contact.control, command.sent_at - TERMS.contact, until)
         # Commands sent while acknowledgements are being lost don't count.
-        is_late = end > until and is_settled and open_contact.is_undisturbed(notes.ack_losses, order.sent_at, until)
-        if order.what == 'drain':
+        is_late = end > until and is_settled and open_contact.is_undisturbed(records.ack_losses, command.sent_at, until)
+        if command.what == 'drain':
             drains = drains + 1
             late_drains = late_drains + is_late
         elif is_late:
             findings.append(
-                f'{order.what} sent at {seconds(order.sent_at)} had no acknowledgement by {seconds(until)}:'
-                f' {order.status}'
+                f'{command.what} sent at {seconds(command.sent_at)} had no acknowledgement by {seconds(until)}:'
+                f' {command.status}'
             )
     if late_drains >= 3 and late_drains > drains / 5:
         findings.append(f'{late_drains} of {drains} endpoints that reported their drain got no acknowledgement')
@@ -290,7 +294,7 @@
     findings: dict[str, str] = {}
     seen = set()
     retry_times = collections.defaultdict(list)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         if arrival.id in seen:
             retry_times[arrival.service].append(arrival.at)
         seen.add(arrival.id)
@@ -312,7 +316,7 @@
     """Return when the requests that may be routed to each pool were sent, by the pool."""
     request_times = collections.defaultdict(list)
     versions = RuleVersions(deployment)
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         for pool in pools_of_all(versions.candidates(rule_key(attempt), attempt.sent_at, None)):
             request_times[pool].append(attempt.sent_at)
     return request_times
--- a/zinctrail/simulation/checkers/open_coordination.py
+++ b/zinctrail/simulation/checkers/open_coordination.py
@@ -6,10 +6,10 @@
 
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 
-Row = typing.TypeVar('Row', open_notes.Number, open_notes.Put)
+Row = typing.TypeVar('Row', open_records.Number, open_records.Put)
 check = registry.OPEN.check
 seconds = registry.seconds
 
@@ -18,7 +18,7 @@
 def lock_exclusion(deployment: open_deployment.Deployment) -> list[str]:
     """Two applications believe that they hold a lock at the same time, or its fencing tokens do not increase."""
     findings = []
-    for name, earlier, later in registry.belief_pairs(deployment.notes.locks):
+    for name, earlier, later in registry.belief_pairs(deployment.records.locks):
         if earlier.holder == later.holder:
             continue
         if later.since < earlier.until:
@@ -34,11 +34,11 @@
     """Return findings for numbers given twice, or not above one that was given before their call was sent."""
     counts = collections.Counter(map(number, rows))
     findings = [f'{label} {value} was given {count} times' for value, count in counts.items() if count > 1]
-    ended = sorted(rows, key=lambda row: row.answered_at)
+    ended = sorted(rows, key=lambda row: row.responded_at)
     position = 0
     highest = None
     for row in sorted(rows, key=lambda row: row.sent_at):
-        while position < len(ended) and ended[position].answered_at <= row.sent_at:
+        while position < len(ended) and ended[position].responded_at <= row.sent_at:
             highest = max(highest or 0, number(ended[position]))
             position += 1
         if highest is not None and number(row) <= highest:
@@ -51,15 +51,15 @@
     return name[: name.index('.') + 1]
 
 
-def acknowledged_puts(deployment: open_deployment.Deployment) -> list[open_notes.Put]:
+def acknowledged_puts(deployment: open_deployment.Deployment) -> list[open_records.Put]:
     """Return the puts that succeeded."""
-    return [put for put in deployment.notes.puts if put.status == 200]
+    return [put for put in deployment.records.puts if put.status == 200]
 
 
 @check('order')
 def ordering(deployment: open_deployment.Deployment) -> list[str]:
     """Numbers or revisions do not increase, a put replaces another revision than expected, or a watch skips a put."""
-    findings = not_increasing(deployment.notes.numbers, lambda row: row.value, 'number')
+    findings = not_increasing(deployment.records.numbers, lambda row: row.value, 'number')
     puts = acknowledged_puts(deployment)
     by_group = registry.group_by(puts, lambda put: group_of(put.name))
     for group in sorted(by_group):
@@ -71,13 +71,13 @@
                 findings.append(
                     f'{name}: put over revision {put.expected_revision} got {put.revision}, skipping {between}'
                 )
-    for watch in deployment.notes.watches:
+    for watch in deployment.records.watches:
         if watch.status == 200:
             findings += _watch_findings(watch, by_group.get(watch.group, ()))
     return findings
 
 
-def _watch_findings(watch: open_notes.Watch, puts: typing.Iterable[open_notes.Put]) -> list[str]:
+def _watch_findings(watch: open_records.Watch, puts: typing.Iterable[open_records.Put]) -> list[str]:
     """Return findings for revisions of a watch that do not increase, and for puts that it skipped."""
     findings = []
     revisions = [event['rev'] for event in watch.events]
@@ -97,8 +97,8 @@
     """A read returns an older revision than one acknowledged before the read was sent."""
     findings = []
     by_name = registry.group_by(acknowledged_puts(deployment), lambda put: put.name)
-    for get in deployment.notes.gets:
-        earlier = [put.revision for put in by_name.get(get.name, ()) if put.answered_at <= get.sent_at]
+    for get in deployment.records.gets:
+        earlier = [put.revision for put in by_name.get(get.name, ()) if put.responded_at <= get.sent_at]
         floor = max(earlier, default=0)
         if get.revision < floor:
             findings.append(
@@ -111,12 +111,12 @@
     deployment: open_deployment.Deployment,
 ) -> typing.Iterator[tuple[str, str, int, datetime.timedelta]]:
     """Yield (name, value, revision, time) of every value that a read or a watch returned."""
-    for get in deployment.notes.gets:
+    for get in deployment.records.gets:
         if get.value is not None:
-            yield get.name, get.value, get.revision, get.answered_at
-    for watch in deployment.notes.watches:
+            yield get.name, get.value, get.revision, get.responded_at
+    for watch in deployment.records.watches:
         for event in watch.events:
-            yield event['name'], event['value'], event['rev'], watch.answered_at
+            yield event['name'], event['value'], event['rev'], watch.responded_at
 
 
 @check('value')
@@ -126,7 +126,7 @@
     Also a finding: a refusal names a revision that no put was given.
     """
     findings = []
-    puts = {put.value: put for put in deployment.notes.puts}
+    puts = {put.value: put for put in deployment.records.puts}
     revisions = collections.defaultdict(set)
     known = collections.defaultdict(set)
     for put in acknowledged_puts(deployment):
@@ -146,8 +146,8 @@
         if len(value_revisions) > 1
     ]
     # Registers with a put of unknown result, which may have been given any revision.
-    uncertain = {put.name for put in deployment.notes.puts if put.status not in (200, 409)}
-    for put in deployment.notes.puts:
+    uncertain = {put.name for put in deployment.records.puts if put.status not in (200, 409)}
+    for put in deployment.records.puts:
         is_unknown = put.named_revision and put.named_revision not in known[put.name]
         if put.status == 409 and is_unknown and put.name not in uncertain:
             findings.append(f'{put.name}: a refusal named revision {put.named_revision}, which no put was given')
@@ -160,8 +160,8 @@
     return [
         f'watch of {watch.group} from {watch.since} got 410,'
         f' {seconds(watch.sent_at - watch.given_at)} after that revision was given'
-        for watch in deployment.notes.watches
+        for watch in deployment.records.watches
         if watch.status == 410
         and watch.given_at is not None
-        and watch.answered_at - watch.given_at < terms.TERMS.history
+        and watch.responded_at - watch.given_at < terms.TERMS.history
     ]
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -6,7 +6,7 @@
 import zinctrail.simulation.checkers.figures as library_figures
 import zinctrail.simulation.checkers.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 
 
 class Maxima(library_figures.Maxima):
@@ -20,29 +20,31 @@
 def figures(deployment: open_deployment.Deployment) -> dict[str, float]:
     """Return the figures, in ms or as a ratio; figures without a value are left out."""
     maxima = Maxima()
-    notes = deployment.notes
+    records = deployment.records
     drained: dict[str, datetime.timedelta] = {}
-    for change in notes.states:
+    for change in records.states:
         drained.setdefault(change.incarnation, change.acknowledged_at)
-    for arrival in notes.arrivals:
+    for arrival in records.arrivals:
         at = drained.get(arrival.incarnation)
         if at is not None and not arrival.is_misdirected and arrival.at > at:
             maxima.add('drained_ms', durations.to_ms(arrival.at - at))
-    for evacuation in notes.evacuations:
+    for evacuation in records.evacuations:
         if evacuation.is_evacuated and evacuation.acknowledged_at:
             _add_evacuation(deployment, evacuation, maxima)
-    for order in notes.orders:
-        if order.status == 200:
-            maxima.add('ack_ms', durations.to_ms(order.answered_at - order.sent_at))
-    success_count = sum(attempt.is_success() for attempt in notes.attempts)
-    maxima.add('failed_share', 1 - success_count / max(1, len(notes.attempts)))
+    for command in records.commands:
+        if command.status == 200:
+            maxima.add('ack_ms', durations.to_ms(command.responded_at - command.sent_at))
+    success_count = sum(attempt.is_success() for attempt in records.attempts)
+    maxima.add('failed_share', 1 - success_count / max(1, len(records.attempts)))
     return dict(maxima)
 
 
-def _add_evacuation(deployment: open_deployment.Deployment, evacuation: open_notes.Evacuation, maxima: Maxima) -> None:
+def _add_evacuation(
+    deployment: open_deployment.Deployment, evacuation: open_records.Evacuation, maxima: Maxima
+) -> None:
     """Add how long after the acknowledgement of its evacuation a zone was reached."""
-    until = registry.taken_back_at(evacuation, deployment.notes.evacuations) or deployment.world.now
-    for arrival in deployment.notes.arrivals:
+    until = registry.taken_back_at(evacuation, deployment.records.evacuations) or deployment.world.now
+    for arrival in deployment.records.arrivals:
         is_in_zone = arrival.cell == evacuation.cell and not arrival.is_misdirected
         if is_in_zone and evacuation.acknowledged_at < arrival.at < until:
             maxima.add('evacuated_ms', durations.to_ms(arrival.at - evacuation.acknowledged_at))
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -7,7 +7,7 @@
 
 import zinctrail.runtime.durations as durations
 import zinctrail.simulation.actors.deployment as client_deployment
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checkers.registry as registry
 
 ms = durations.ms
@@ -25,7 +25,7 @@
 def run_twice(deployment: client_deployment.Deployment) -> list[str]:
     """A request that may run at most once runs twice."""
     once = deployment.shape['once']
-    runs = collections.Counter(run.id for run in deployment.notes.runs if run.service in once)
+    runs = collections.Counter(run.id for run in deployment.records.runs if run.service in once)
     return [f'{request_id} ran {count} times' for request_id, count in runs.items() if count > 1]
 
 
@@ -34,17 +34,17 @@
     """A caller gets the outcome not-run for a request that has run."""
     findings = []
     ran = collections.defaultdict(set)
-    for run in deployment.notes.runs:
+    for run in deployment.records.runs:
         ran[run.id].add(run.attempt)
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         # Only attempts up to this one count: a later attempt is a new request, whose run breaks no promise.
         has_run = any(number <= attempt.number for number in ran[attempt.id])
-        if attempt.outcome == 'not-run' and attempt.is_whole and has_run:
+        if attempt.outcome == 'not-run' and attempt.is_complete and has_run:
             findings.append(
-                f'{attempt.id} attempt {attempt.number} got not-run at {seconds(attempt.answered_at)},'
+                f'{attempt.id} attempt {attempt.number} got not-run at {seconds(attempt.responded_at)},'
                 f' ran as {sorted(ran[attempt.id])}'
             )
-    for reply in deployment.notes.replies:
+    for reply in deployment.records.responses:
         if reply.outcome == 'not-run' and any(number <= reply.attempts for number in ran[reply.id]):
             findings.append(f'{reply.id} ended as not-run, ran as {sorted(ran[reply.id])}')
     return findings
@@ -57,9 +57,9 @@
     This holds for every status, and for callers without a seal too.
     """
     findings = []
-    notes = deployment.notes
-    runs = {(run.id, run.incarnation) for run in notes.runs}
-    for row in notes.attempts + notes.replies:
+    records = deployment.records
+    runs = {(run.id, run.incarnation) for run in records.runs}
+    for row in records.attempts + records.responses:
         # Statuses given by the system itself are skipped: with 409 an endpoint says that the id ran there before.
         if row.outcome != 'ran' or row.status == 409:
             continue
@@ -77,7 +77,7 @@
 def drained_at(deployment: client_deployment.Deployment) -> dict[str, datetime.timedelta]:
     """Return when the drain or shutdown of each incarnation was first acknowledged."""
     times: dict[str, datetime.timedelta] = {}
-    for change in deployment.notes.states:
+    for change in deployment.records.states:
         times.setdefault(change.incarnation, change.acknowledged_at)
     return times
 
@@ -94,7 +94,7 @@
 
     An incarnation is removed once the status page or a 410 says so; its process may still run.
     """
-    return reached_since(deployment, deployment.notes.gone, 'it was removed')
+    return reached_since(deployment, deployment.records.gone, 'it was removed')
 
 
 def reached_since(
@@ -102,9 +102,10 @@
 ) -> list[str]:
     """Return a finding for each arrival at an incarnation more than the bound after its time in `times`."""
     return [
-        f'{arrival.id} reached {arrival.meant_for} {seconds(arrival.at - times[arrival.meant_for])} after {event}'
-        for arrival in deployment.notes.arrivals
-        if arrival.meant_for in times and arrival.at > times[arrival.meant_for] + MAX_REACHABLE_AFTER_END
+        f'{arrival.id} reached {arrival.target_incarnation} {seconds(arrival.at - times[arrival.target_incarnation])} after {event}'
+        for arrival in deployment.records.arrivals
+        if arrival.target_incarnation in times
+        and arrival.at > times[arrival.target_incarnation] + MAX_REACHABLE_AFTER_END
     ]
 
 
@@ -112,9 +113,9 @@
 def new_process_reached(deployment: client_deployment.Deployment) -> list[str]:
     """A request reaches a new process that has the address of the endpoint that it was sent to."""
     return [
-        f'{arrival.id} meant for {arrival.meant_for} reached the new process {arrival.incarnation} at {arrival.address}'
-        for arrival in deployment.notes.arrivals
-        if arrival.is_stranger
+        f'{arrival.id} meant for {arrival.target_incarnation} reached the new process {arrival.incarnation} at {arrival.address}'
+        for arrival in deployment.records.arrivals
+        if arrival.is_unknown_target
     ]
 
 
@@ -126,7 +127,7 @@
     """
     return [
         f'{arrival.incarnation} ran {arrival.running} at once, capacity {arrival.capacity:.2f}'
-        for arrival in deployment.notes.arrivals
+        for arrival in deployment.records.arrivals
         if arrival.running > max(1, MAX_WARM_UP_RATIO * arrival.capacity)
     ]
 
@@ -148,7 +149,7 @@
     """Yield a RetryWindow for each arrival."""
     seen = set()
     by_service = collections.defaultdict(list)
-    for arrival in deployment.notes.arrivals:
+    for arrival in deployment.records.arrivals:
         by_service[arrival.service].append((arrival.at, arrival.attempt > 1 or arrival.id in seen))
         seen.add(arrival.id)
     for service, rows in by_service.items():
@@ -190,11 +191,11 @@
     """A request with home regions runs outside them, passes a proxy outside them, or gets a response from outside."""
     findings = []
     zones = zones_of_proxies(deployment)
-    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.notes.runs}
-    for arrival in deployment.notes.arrivals:
+    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.records.runs}
+    for arrival in deployment.records.arrivals:
         if arrival.home and region_of(arrival.cell) not in arrival.home:
             findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.cell}')
-    for attempt in deployment.notes.attempts:
+    for attempt in deployment.records.attempts:
         if not attempt.home or attempt.outcome != 'ran':
             continue
         if region_of(zones[attempt.proxy]) not in attempt.home:
@@ -211,13 +212,13 @@
 MAX_RECOVERY_TIME = ms(15000)
 
 
-def undisturbed_losses(deployment: client_deployment.Deployment) -> list[actor_notes.Loss]:
+def undisturbed_losses(deployment: client_deployment.Deployment) -> list[actor_records.Loss]:
     """Return the losses after which no new fault began until service must be back (MAX_RECOVERY_TIME)."""
-    notes = deployment.notes
+    records = deployment.records
     return [
         loss
-        for loss in notes.losses
-        if not any(loss.at <= begin < loss.at + MAX_RECOVERY_TIME for begin in notes.begins)
+        for loss in records.losses
+        if not any(loss.at <= begin < loss.at + MAX_RECOVERY_TIME for begin in records.begins)
     ]
 
 
@@ -225,20 +226,20 @@
 def service_back(deployment: client_deployment.Deployment) -> list[str]:
     """A service, or most requests, do not run within 15 s after all that a fault took away, and that may return, is back."""
     findings = []
-    notes = deployment.notes
-    last_sent_at = max((reply.sent_at for reply in notes.replies), default=ms(0))
+    records = deployment.records
+    last_sent_at = max((reply.sent_at for reply in records.responses), default=ms(0))
     for loss in undisturbed_losses(deployment):
         # If no requests were sent for part of this time, missing runs prove nothing.
         if last_sent_at < loss.at + ms(14000):
             continue
         for service in sorted(deployment.shape['services']):
             if not any(
-                run.service == service and loss.at < run.at <= loss.at + MAX_RECOVERY_TIME for run in notes.runs
+                run.service == service and loss.at < run.at <= loss.at + MAX_RECOVERY_TIME for run in records.runs
             ):
                 findings.append(f'no request to {service} ran within 15 s of {loss.fault} at {seconds(loss.at)}')
         late_runs = [
             reply.outcome == 'ran'
-            for reply in notes.replies
+            for reply in records.responses
             if loss.at + ms(10000) < reply.sent_at <= loss.at + ms(14000)
         ]
         if len(late_runs) >= 20 and sum(late_runs) < 0.8 * len(late_runs):
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -17,7 +17,7 @@
 import zinctrail.simulation.actors.caller as caller_actor
 import zinctrail.simulation.actors.deployment as client_deployment
 import zinctrail.simulation.actors.endpoint as endpoint_actor
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.checks as checks
 import zinctrail.simulation.command as command
 import zinctrail.simulation.faults.disks
@@ -95,17 +95,17 @@
     def run(self) -> typing.Self:
         """Run the scenario; returns itself."""
         world = self.world
-        notes = self.deployment.notes
+        records = self.deployment.records
         self.start_load()
         world.run(ms(4000))
         time_each = self.length / max(1, len(self.fault_groups))
         for name in self.fault_groups:
             began = world.now
-            notes.begins.append(world.now)
+            records.begins.append(world.now)
             self.log(f'fault {name}')
             self.inject(name)
             # From here on, everything that can recover has recovered.
-            notes.losses.append(actor_notes.Loss(world.now, name))
+            records.losses.append(actor_records.Loss(world.now, name))
             world.run(max(ms(0), began + time_each - world.now))
         if not self.fault_groups:
             world.run(self.length)
@@ -118,7 +118,7 @@
         deployment = self.deployment
         self.set_clocks()
         deployment.start()
-        deployment.operator.watch_status()
+        deployment.operator.poll_status()
         deployment.start_callers(self.rate, any_proxy_share=self.any_proxy_share)
         # Some callers send requests with home regions, because the checker of home regions needs such traffic.
         for number, cell in enumerate(deployment.cells[:2]):
--- a/zinctrail/simulation/linearizability.py
+++ b/zinctrail/simulation/linearizability.py
@@ -1,14 +1,14 @@
 """A linearizability checker: is there a sequential order of the operations that a model allows?
 
-Each operation must take effect between its sent_at and its answered_at. It is an actors.notes.Operation with
-answered_at None if its result is unknown: it may have taken effect at any time since sent_at, or never.
+Each operation must take effect between its sent_at and its responded_at. It is an actors.records.Operation with
+responded_at None if its result is unknown: it may have taken effect at any time since sent_at, or never.
 A model is a function step(state, operation) that returns the next state, or None if the
 operation can't have that result in this state.
 """
 
 import typing
 
-import zinctrail.simulation.actors.notes as actor_notes
+import zinctrail.simulation.actors.records as actor_records
 import zinctrail.simulation.observations as observations
 
 # Deciding linearizability is NP-hard in general, so the search is bounded; an undecided history must not pass.
@@ -34,16 +34,16 @@
 
 
 def find_violation(
-    operations: list[actor_notes.Operation],
+    operations: list[actor_records.Operation],
     initial_state: State,
-    step: typing.Callable[[State, actor_notes.Operation], State | None],
-) -> actor_notes.Operation | None:
+    step: typing.Callable[[State, actor_records.Operation], State | None],
+) -> actor_records.Operation | None:
     """Return the first operation that no sequential order explains, or None if the history is linearizable.
 
     :raises UndecidedError: the search took too many steps.
     """
     operations = sorted(operations, key=lambda operation: operation.sent_at)
-    ends = [operation.answered_at for operation in operations]
+    ends = [operation.responded_at for operation in operations]
     last_end = max((end for end in ends if end is not None), default=None)
     if last_end is None:
         return None
@@ -83,7 +83,7 @@
 
 
 def next_possible(
-    operations: list[actor_notes.Operation], ends: list[observations.Time | None], done: int, low: int
+    operations: list[actor_records.Operation], ends: list[observations.Time | None], done: int, low: int
 ) -> list[int]:
     """Return the operations that may come next: those sent before any other pending operation ended."""
     earliest_end = None
@@ -100,7 +100,7 @@
     return [position for position in found if earliest_end is None or operations[position].sent_at <= earliest_end]
 
 
-def step_key(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def step_key(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """Apply an operation to a key with revisions; None if its result is impossible in this state."""
     if operation.kind == 'get':
         return _key_read(state, operation)
@@ -120,7 +120,7 @@
     return KeyState(new_value, 0 if is_drop else operation.revision, operation.revision)
 
 
-def _key_read(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def _key_read(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """Apply a read, which must return the value and its revision."""
     value, revision, highest = state
     if operation.value != value or (revision is not None and operation.revision != revision):
@@ -128,7 +128,7 @@
     return KeyState(value, operation.revision, max(highest, operation.revision))
 
 
-def _key_refused(state: KeyState, operation: actor_notes.Operation) -> KeyState | None:
+def _key_refused(state: KeyState, operation: actor_records.Operation) -> KeyState | None:
     """Apply a refusal, which names the key's revision: not the expected one, or there is nothing to drop."""
     value, revision, highest = state
     current = operation.revision or 0
@@ -140,7 +140,7 @@
     return KeyState(value, current, max(highest, current))
 
 
-def step_number(state: int, operation: actor_notes.Operation) -> int | None:
+def step_number(state: int, operation: actor_records.Operation) -> int | None:
     """Apply an operation that increments a number by one; None if it returned another number."""
     if operation.result == 'ok' and operation.value != state + 1:
         return None
--- a/zinctrail/simulation/open_days.py
+++ b/zinctrail/simulation/open_days.py
@@ -22,7 +22,7 @@
 import zinctrail.simulation.faults.registry as registry
 import zinctrail.simulation.open_actors.deployment as open_deployment
 import zinctrail.simulation.open_actors.endpoint as open_endpoint
-import zinctrail.simulation.open_actors.notes as open_notes
+import zinctrail.simulation.open_actors.records as open_records
 import zinctrail.simulation.open_actors.terms as terms
 import zinctrail.simulation.open_actors.world as open_world
 import zinctrail.simulation.open_checks as open_checks
@@ -106,7 +106,7 @@
         self.deployment.operator.read()
         for application in self.deployment.applications:
             for group in range(terms.GROUPS):
-                for cell in range(terms.CELLS_A_GROUP):
+                for cell in range(terms.CELLS_PER_GROUP):
                     application.get(f'g{group}.{cell}')
         self.world.run(ms(9000))
 
@@ -129,7 +129,7 @@
             self.record_ineffective(name)
             return
         world.run(ms(4000))
-        self.deployment.notes.closings.append(open_notes.Closing(struck_at[0], world.now, name))
+        self.deployment.records.closing_faults.append(open_records.ClosingFault(struck_at[0], world.now, name))
         world.run(ms(22000))
 
     def verdicts(self, only: str | None = None) -> list[str]:
@@ -150,7 +150,7 @@
     def sample_of_a_service(self, share: float = 0.3) -> list[open_endpoint.Endpoint]:
         """Return a random sample of a share of the endpoints of a random service."""
         service = self.rng.choice(sorted(terms.SERVICES))
-        return self.sample(self.deployment.of(service), share)
+        return self.sample(self.deployment.running_endpoints(service), share)
 
     def random_rule(self) -> dict:
         """Return a random rule that clients send requests for."""
