--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -25,35 +25,35 @@
     context.node.serve()
 
 
-def request_number(node: control_node.ControlNode, puts: int) -> None:
-    """Let a caller request the next number; the node puts it to b so many times, or to nobody."""
-    if puts == 0:
+def request_number(node: control_node.ControlNode, forwards: int) -> None:
+    """Send a caller's request for a number to the node, which forwards it to b `forwards` times; 0: it has no leader."""
+    if forwards == 0:
         node.machine.lose_leader('test')
     node.feed('http', 1, effects.HttpRequest('POST', '/v1/number/step', {}, b'{"name": "n"}'))
-    for _ in range(puts - 1):
+    for _ in range(forwards - 1):
         node.run(520)
         node.follow('b', 3)
         node.run(100)
-    assert len(node.sent('ask')) >= puts, node.sends
+    assert len(node.sent('ask')) >= forwards, node.sends
 
 
 def accept_newest(node: control_node.ControlNode) -> None:
-    """Let b answer that it has accepted the node's newest version."""
+    """Let b acknowledge the node's newest version as accepted."""
     version = node.machine.replica.accepted
     node.recv('b', 'pub_re', term=node.machine.term, at=version, ok=True, accepted=version)
 
 
-@behave.when('a caller asks for a number, it is put to b {puts:d} times and b answers {answer:d}')
-def number_request_is_forwarded(context, puts: int, answer: int):
+@behave.when('a caller requests a number, the request is forwarded to b {forwards:d} times and b responds {status:d}')
+def number_request_is_forwarded(context, forwards: int, status: int):
     node = context.node
-    request_number(node, puts)
-    node.recv('b', 'ask_re', key=node.sent('ask')[0]['key'], result={'status': answer, 'number': 1})
+    request_number(node, forwards)
+    node.recv('b', 'ask_re', key=node.sent('ask')[0]['key'], result={'status': status, 'number': 1})
 
 
-@behave.when('a caller asks for a number, it is put to b {puts:d} times and the node leads but is deposed at once')
-def number_request_meets_deposed_leader(context, puts: int):
+@behave.when('a caller requests a number, the request is forwarded to b {forwards:d} times and the node becomes leader but is deposed at once')
+def number_request_meets_deposed_leader(context, forwards: int):
     node = context.node
-    request_number(node, puts)
+    request_number(node, forwards)
     node.lead()
     accept_newest(node)
     assert node.machine.replica.committed[0] == node.machine.term
@@ -61,18 +61,18 @@
     assert node.machine.mode == 'candidate'
 
 
-def answer_to_caller(context) -> str:
-    """The status that the caller got, or `nothing`."""
+def result_of_caller(context) -> str:
+    """Return the status of the caller's response, or `nothing` if it got none."""
     response = context.node.responses.get(1)
     return str(response[0]) if response else 'nothing'
 
 
-@behave.then('the caller is told {answer}')
-def caller_gets_answer(context, answer: str):
-    assert answer_to_caller(context) == answer, context.node.responses
+@behave.then('the caller gets {result}')
+def caller_gets_result(context, result: str):
+    assert result_of_caller(context) == result, context.node.responses
 
 
-@behave.when('a caller asks for a number and hangs up')
+@behave.when('a caller requests a number and disconnects')
 def caller_hangs_up(context):
     request_number(context.node, 1)
     context.node.feed('hung_up', 1)
@@ -85,13 +85,13 @@
     assert context.node.machine.leader['id'] == 'c'
 
 
-@behave.then('nothing is asked of c')
+@behave.then('no request is forwarded to c')
 def nothing_is_forwarded(context):
     context.node.run(700)
     assert not context.node.sent('ask', 'c'), context.node.sent('ask', 'c')
 
 
-@behave.when('b asks for lock l twice under one key')
+@behave.when('b requests lock l twice under the same key')
 def lock_request_comes_twice(context):
     node = context.node
     for _ in range(2):
@@ -99,14 +99,14 @@
         node.run(100)
 
 
-@behave.then('both copies are told the same fence')
+@behave.then('both copies get the same fence')
 def copies_get_one_fence(context):
     results = [frame['result'] for frame in context.node.sent('ask_re')]
     assert len(results) == 2 and results[0] == results[1], results
     assert results[0]['status'] == 200, results
 
 
-@behave.then('its first ask has another key than the first ask of its last life')
+@behave.then('its first request has another key than the first request of its previous run')
 def request_key_is_new(context):
     other = control_node.ControlNode(seed=2)
     other.follow('b', 3)
@@ -123,7 +123,7 @@
 
 
 def hold(node: control_node.ControlNode, holder: str, lease_ms: int) -> dict:
-    """Let a holder ask for lock l; the result."""
+    """Request lock l for a holder; return the result."""
     return node.operate('lock.hold', name='l', holder=holder, lease_ms=lease_ms)
 
 
@@ -143,7 +143,7 @@
     pass
 
 
-@behave.when('the master changes')
+@behave.when('the leader changes')
 def leader_changes(context):
     context.node.lead_anew()
 
@@ -153,13 +153,13 @@
     context.node.run(duration_ms)
 
 
-@behave.then('y asking for lock l is told {status:d}')
+@behave.then('y requesting lock l gets {status:d}')
 def lock_request_gets_status(context, status: int):
     result = hold(context.node, 'y', 1000)
     assert result['status'] == status, result
 
 
-@behave.then('{delay_ms:d} ms later y asking for lock l is told {status:d}')
+@behave.then('{delay_ms:d} ms later y requesting lock l gets {status:d}')
 def later_lock_request_gets_status(context, delay_ms: int, status: int):
     context.node.run(delay_ms)
     result = hold(context.node, 'y', 1000)
@@ -170,7 +170,7 @@
 
 
 def send_heartbeat(node: control_node.ControlNode, incarnation: str, sequence: int, words: list[str]) -> None:
-    """Let an endpoint send a heartbeat, whose state and address are told by words."""
+    """Send an endpoint's heartbeat; `words` may hold its state, `cold`, and `at` with the endpoint whose address it has."""
     address = ADDRESSES[words[2]] if 'at' in words else ADDRESSES[incarnation]
     result = node.operate(
         'beat',
@@ -187,7 +187,7 @@
 
 
 def remove_endpoint(node: control_node.ControlNode, incarnation: str) -> None:
-    """Let the leader find an endpoint gone."""
+    """Have the leader remove an endpoint, as after a health check that it failed."""
     registry = node.machine.endpoint_registry
     results = []
     node.machine.submit(
@@ -198,16 +198,16 @@
     assert results, 'no result'
 
 
-@behave.when('the beats {beats} come of endpoints as number state')
-def heartbeats_come_out_of_order(context, beats: str):
+@behave.when('the heartbeats {events} of endpoints arrive, each as ID:NUMBER STATE')
+def heartbeats_come_out_of_order(context, events: str):
     node = context.node
-    for text in beats.split(', '):
+    for text in events.split(', '):
         words = text.split()
-        if text == 'new master':
+        if text == 'new leader':
             node.lead_anew()
-        elif text in ('emptied', 'taken back'):
-            assert node.operate('cell.empty', cell='r0/c0', on=text == 'emptied')['status'] == 200
-        elif words[1:] == ['gone']:
+        elif text in ('evacuated', 'restored'):
+            assert node.operate('cell.empty', cell='r0/c0', on=text == 'evacuated')['status'] == 200
+        elif words[1:] == ['removed']:
             remove_endpoint(node, words[0])
         elif words[1:] == ['leaves']:
             assert node.operate('leave', inc=words[0])['status'] == 200
@@ -217,19 +217,19 @@
 
 
 @behave.then('the endpoints are {endpoints}')
-def endpoints_that_stay_are(context, endpoints: str):
+def remaining_endpoints_are(context, endpoints: str):
     rows = context.node.machine.replica.get('endpoints')
     states = sorted(f'{incarnation} {row["state"]}' for incarnation, row in rows.items())
     assert (', '.join(states) or 'none') == endpoints, states
 
 
-@behave.then('p is taken for {warmth}')
+@behave.then('p counts as {warmth}')
 def endpoint_is_warm_or_cold(context, warmth: str):
     row = context.node.machine.replica.get('endpoints', 'p')
     assert ('cold' if row['chill'] else 'warm') == warmth, row
 
 
-@behave.when("the master changes, and y asks for lock l before the new one's first generation is in force")
+@behave.when("the leader changes, and y requests lock l before the new one's first generation is in force")
 def lock_request_before_first_version(context):
     node = context.node
     context.results = []
@@ -244,7 +244,7 @@
     node.run(400)
 
 
-@behave.then('y is told {status:d}')
+@behave.then('y gets {status:d}')
 def lock_caller_gets_status(context, status: int):
     assert [result['status'] for result in context.results] == [status], context.results
 
@@ -256,7 +256,7 @@
     assert context.node.machine.mode == 'candidate'
 
 
-@behave.then('the node tells {nodes} to succeed it')
+@behave.then('the node asks {nodes} to succeed it')
 def successor_is_named(context, nodes: str):
     assert context.node.sent('succeed', nodes), context.node.sends
 
@@ -266,8 +266,8 @@
     assert context.node.sent('down', nodes), context.node.sends
 
 
-@behave.when('the node hears {node} step down from term {term:d}')
-def stepping_down_is_heard(context, node: str, term: int):
+@behave.when('the node is told that {node} steps down from term {term:d}')
+def stepping_down_is_announced_to_node(context, node: str, term: int):
     context.node.recv(node, 'down', term=term)
 
 
@@ -285,15 +285,15 @@
     accept_newest(node)
 
 
-@behave.then('b has been granted a lease, by an answer from before the round it rests on')
-def lease_rests_on_earlier_answer(context):
+@behave.then('b has been granted a lease, for its response to a round before the newest one with a quorum')
+def lease_is_granted_for_earlier_response(context):
     grants = context.node.sent('grant')
     quorum_round = context.node.machine.leadership.heartbeats.quorum_round
     assert grants and grants[0]['ack'] < quorum_round, (grants, quorum_round)
 
 
-def answer_newest_frames(node: control_node.ControlNode, count: int) -> None:
-    """Let b answer the newest publications and heartbeats that it was sent."""
+def respond_to_newest_frames(node: control_node.ControlNode, count: int) -> None:
+    """Let b respond to the last `count` publications and heartbeats that it was sent."""
     address = machine_host.address_of('b')
     frames = [send.frame for send in node.sends if send.address == address and send.frame['t'] in ('pub', 'chk')]
     for frame in frames[-count:]:
@@ -301,7 +301,7 @@
             node.feed(kind, *arguments)
 
 
-@behave.when('the node gets a read and {event} within the gathering time')
+@behave.when('the node receives a read and {event} within the gathering time')
 def read_and_event_within_gathering_time(context, event: str):
     node = context.node
     context.results = []
@@ -315,23 +315,23 @@
     assert not context.results
     context.rounds = node.machine.heartbeat_round - first_round
     node.is_muted = False
-    answer_newest_frames(node, 3)
+    respond_to_newest_frames(node, 3)
     node.run(20)
 
 
-@behave.then('so the node answers it, after {rounds:d} rounds of its own')
-def read_is_answered_after_rounds(context, rounds: int):
+@behave.then('the node responds to the read after {rounds:d} further heartbeat rounds')
+def read_gets_response_after_rounds(context, rounds: int):
     assert [result['status'] for result in context.results] == [404], context.results
     assert context.rounds == rounds, context.rounds
 
 
-@behave.given('voters a, b, c, d and e that lost their master at the same moment')
+@behave.given('voters a, b, c, d and e that lost their leader at the same moment')
 def voters_that_lost_their_leader(context):
     context.voters = list('abcde')
 
 
 def election_time(voters: list[str], index: int, term: int) -> datetime.timedelta:
-    """When a voter that has just lost its leader in a term stands for election."""
+    """Return when a voter that has just lost its leader in a term starts an election."""
     machine = control_node.ControlNode(seed=index).machine
     machine.node = voters[index]
     machine.term = term
@@ -339,7 +339,7 @@
     machine.replica.tables['meta'] = dict(machine.replica.tables['meta'], vc=voting_set)
     for other in voters:
         if other != machine.node:
-            # The machine itself has the address of a.
+            # The machine under test already has the address of a.
             address = machine_host.address_of(other) if other != 'a' else '10.0.0.9:1000'
             machine.record_node(address, other, 'core', seen=True)
     machine.timers.pop('election', None)
@@ -347,7 +347,7 @@
     return machine.timers['election']
 
 
-@behave.then('the first two of them stand at least {least_ms:d} ms apart, whatever the term')
+@behave.then('the first two of them start elections at least {least_ms:d} ms apart, in every term')
 def first_candidates_stand_apart(context, least_ms: int):
     gaps = []
     for term in range(1, 60):
@@ -357,7 +357,7 @@
     assert min(gaps) >= ms(least_ms), min(gaps)
 
 
-@behave.when('its master is lost, and {delay_ms:d} ms later a caller asks for a number and {wait_ms:d} ms go by')
+@behave.when('its leader is lost, and {delay_ms:d} ms later a caller requests a number and {wait_ms:d} ms pass')
 def leader_is_lost_before_number_request(context, delay_ms: int, wait_ms: int):
     node = context.node
     node.feed('lost', machine_host.address_of('b'))
@@ -367,23 +367,23 @@
     node.run(wait_ms)
 
 
-@behave.when('a caller asks for a number, b is lost, and {duration_ms:d} ms go by')
+@behave.when('a caller requests a number, b is lost, and {duration_ms:d} ms pass')
 def leader_is_lost_after_number_request(context, duration_ms: int):
     request_number(context.node, 1)
     context.node.feed('lost', machine_host.address_of('b'))
     context.node.run(duration_ms)
 
 
-@behave.then('{delay_ms:d} ms later the caller is told {answer}')
-def later_caller_gets_answer(context, delay_ms: int, answer: str):
+@behave.then('{delay_ms:d} ms later the caller gets {result}')
+def later_caller_gets_result(context, delay_ms: int, result: str):
     context.node.run(delay_ms)
-    assert answer_to_caller(context) == answer, context.node.responses
+    assert result_of_caller(context) == result, context.node.responses
 
 
 @behave.when('b is started again from its disk and {duration_ms:d} ms go by')
 def member_restarts_from_disk(context, duration_ms: int):
     node = context.node
-    # First, because the silence of c makes a version, too.
+    # Run on first: c does not respond, and its removal commits a version, too.
     node.run(4000)
     node.replica.apply_pending()
     node.replica.committed = (0, 0)
@@ -391,7 +391,7 @@
     node.run(duration_ms)
 
 
-@behave.then('b knows what is committed')
+@behave.then('b knows the committed version')
 def member_knows_committed_version(context):
-    assert context.node.machine.replica.accepted == context.generation, 'something new was published'
+    assert context.node.machine.replica.accepted == context.generation, 'a new version was published'
     assert context.node.replica.committed == context.generation, context.node.replica.committed
