--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -24,12 +24,12 @@
 # -- one leader, and late copies of operations --------------------------------
 
 
-@behave.given('a core node that leads, for asks of all kinds')
+@behave.given('a control node that leads, and operations of all kinds')
 def leader_for_operations(context):
     context.leader = operation_cases.OperationLeader()
 
 
-@behave.when('{operation} is asked of it and done, and then {event}')
+@behave.when('{operation} is requested of it and carried out, and then {event}')
 def operation_is_done_and_followed(context, operation: str, event: str):
     leader, case = context.leader, operation_cases.CASES[operation]
     context.operation = operation
@@ -41,7 +41,7 @@
     assert result is None or not isinstance(result, dict) or result['status'] == 200, result
 
 
-@behave.when('another master leads, and the same ask comes again')
+@behave.when('another leader is elected, and a copy of the request arrives')
 def another_leader_gets_copy(context):
     leader = context.leader
     leader.node.lead_anew()
@@ -51,22 +51,22 @@
     )
 
 
-@behave.then('the copy is told {status:d}, and changes nothing')
-def copy_is_answered(context, status: int):
+@behave.then('the copy gets {status:d}, and changes nothing')
+def copy_gets_status(context, status: int):
     assert context.copy_result['status'] == status, context.copy_result
     after, before = context.leader.state(), context.state
     if context.operation == 'number.step':
-        # A gap in the numbers is nobody's concern; the copy's number is above all before it.
+        # Numbers may have gaps; the copy only has to get a number above all earlier ones.
         assert context.copy_result['number'] == after['numbers'].pop('n') > before['numbers'].pop('n')
     assert after == before, (before, after)
 
 
 def is_retryable(operation: str) -> bool:
-    """Whether an operation may be repeated whatever its arguments are."""
+    """True if an operation may be retried with any arguments."""
     return leader_operations.LeaderOperations.is_retryable(None, operation, {})
 
 
-@behave.then('the rows of asks name every operation that acts')
+@behave.then('the rows above name every operation that changes the state')
 def every_operation_has_a_case(context):
     operations = {*leader_operations.HANDLERS, *coordination.OPERATIONS} - {*leader_operations.READS}
     acting = operations | {'beat'}
@@ -79,7 +79,7 @@
     )
 
 
-@behave.when('{operation} is asked of it by a frame that names {heartbeat_round}')
+@behave.when('{operation} is requested of it by a frame that names {heartbeat_round}')
 def operation_names_round(context, operation: str, heartbeat_round: str):
     leader = context.leader
     context.arguments = operation_cases.CASES[operation].prepare(leader)
@@ -90,20 +90,20 @@
     fields = {
         'its newest round': {'seen': [term, newest]},
         'a round of 2 s ago': {'seen': earlier_round},
-        'a round of another master': {'seen': [term - 1, newest]},
+        'a round of another leader': {'seen': [term - 1, newest]},
         'a round that never was': {'seen': [term, newest + 5]},
-        'no round, as the level before': {},
+        'no round, as at the previous level': {},
     }
     context.result = leader.request(operation, context.arguments, **fields[heartbeat_round])
 
 
-@behave.then('the ask is {handling}')
-def operation_is_handled(context, handling: str):
+@behave.then('the operation is {outcome}')
+def operation_has_outcome(context, outcome: str):
     state = context.leader.state()
-    if handling == 'done':
+    if outcome == 'done':
         assert context.result['status'] == 200 and state != context.state, context.result
     else:
-        # Refused as not done; only the leader's own word counts for who still waits.
+        # The leader did nothing, and says so: only its own result may end the wait of the caller.
         assert context.result == results.TOO_LATE and state == context.state, context.result
 
 
@@ -111,16 +111,16 @@
 
 
 def requests_to(node: control_node.ControlNode, leader: str) -> list[messages.OperationRequest]:
-    """The operations that a node requested of a leader, as that one reads them: JSON has lists in place of tuples."""
+    """Return the operations that a node requested of a leader, decoded from JSON, which has lists in place of tuples."""
     return [codec.decode(json.loads(json.dumps(frame))) for frame in node.sent('ask', leader)]
 
 
-@behave.given('a core node that follows, and asks b to empty a cell')
+@behave.given('a control node that follows b, and requests an evacuation from it')
 def follower_requests_evacuation(context):
     node = context.node = control_node.ControlNode()
     node.follow('b', 3)
     node.recv('b', 'chk', term=3, to='a', round=2, http='')
-    # As a member of an earlier release asks: without an id.
+    # Without an id, as a member of an earlier release requests it.
     node.machine.request_operation(
         'cell.empty',
         {'cell': CELL, 'on': True},
@@ -131,7 +131,7 @@
     assert [(request.last_round, request.first_term) for request in requests] == [([3, 2], None)], requests
 
 
-@behave.when('c leads the next term instead')
+@behave.when('c leads in the next term instead')
 def next_leader_is_c(context):
     node = context.node
     node.feed('lost', machine_host.address_of('b'))
@@ -140,7 +140,7 @@
     assert node.machine.leader['id'] == 'c'
 
 
-@behave.then('c is asked only once it has checked the node, and told of the earlier term')
+@behave.then('c gets the request only after its heartbeat, with the earlier term')
 def next_leader_is_asked_after_heartbeat(context):
     node = context.node
     assert not node.sent('ask', 'c')
@@ -149,12 +149,12 @@
     assert [(request.last_round, request.first_term) for request in requests] == [([4, 7], 3)], requests
 
 
-@behave.when('the node itself leads the next term')
+@behave.when('the node itself leads in the next term')
 def node_leads_next_term(context):
     context.node.serve()
 
 
-@behave.then('the call is told {status:d} and nothing is emptied')
+@behave.then('the call gets {status:d} and no zone is evacuated')
 def call_is_refused_without_effect(context, status: int):
     node = context.node
     assert node.responses[1][0] == status, node.responses
@@ -164,7 +164,7 @@
 # -- heartbeats and health checks of endpoints --------------------------------
 
 
-@behave.when('an endpoint beats, its cell is emptied and taken back, and one late beat comes twice')
+@behave.when('an endpoint sends a heartbeat, its zone is evacuated and restored, and one late heartbeat arrives twice')
 def late_heartbeat_comes_twice(context):
     leader = context.leader
     leader.operate('beat', **leader.heartbeat('e', 4))
@@ -175,12 +175,12 @@
         leader.operate('beat', **leader.heartbeat('e', 5))
 
 
-@behave.then('the endpoint is still taken for cold')
+@behave.then('the endpoint still counts as cold')
 def endpoint_is_cold(context):
     assert context.leader.node.machine.replica.get('endpoints', 'e')['chill']
 
 
-@behave.then('the next beat but one warms it')
+@behave.then('the second heartbeat after that makes it warm')
 def endpoint_warms_up(context):
     leader = context.leader
     for sequence in (6, 7):
@@ -188,26 +188,26 @@
     assert not leader.node.machine.replica.get('endpoints', 'e')['chill']
 
 
-@behave.when('a probe of an endpoint is under way and {sender} answers that it is gone')
+@behave.when('a probe of an endpoint is in progress and {sender} reports it as gone')
 def health_check_reports_gone(context, sender: str):
     leader = context.leader
     machine = leader.node.machine
     leader.operate('beat', **leader.heartbeat('e', 4))
-    # Two health checks by b: the first was given up.
+    # Two health checks by b: the first, number 7, was abandoned.
     machine.health_checks.checks['e'] = endpoint_health_checks.HealthCheck(8, machine.now, 'b', [])
     fields = {'inc': 'e', 'ok': False, 'refused': True, 'no': 8}
-    if sender == 'the prober, to an earlier asking':
+    if sender == 'the prober, for an earlier probe':
         fields['no'] = 7
-    elif sender == 'the prober, as the level before':
+    elif sender == 'the prober, at the previous level':
         del fields['no']
     leader.node.recv('c' if sender == 'another node' else 'b', 'probe_ep_re', **fields)
     leader.node.run(200)
 
 
 @behave.then('that endpoint is {outcome}')
-def endpoint_is_kept_or_dropped(context, outcome: str):
-    is_there = context.leader.node.machine.replica.get('endpoints', 'e') is not None
-    assert is_there == (outcome == 'kept')
+def endpoint_is_registered_or_removed(context, outcome: str):
+    is_registered = context.leader.node.machine.replica.get('endpoints', 'e') is not None
+    assert is_registered == (outcome == 'registered')
 
 
 # -- results that one proxy asks of another -----------------------------------
@@ -224,17 +224,17 @@
     proxy.machine.at_most_once.result_queries[7] = request
 
 
-@behave.when('it is answered {answer}')
-def result_query_is_answered(context, answer: str):
+@behave.when('its response is {response}')
+def result_query_gets_response(context, response: str):
     proxy = context.proxy
     frame = {'t': 'kept_re', 'v': proxy.machine.level, 'c': '', 'f': 'q', 'a': '10.0.1.9:1', 'key': 7, 'cell': ''}
     frame['outcome'] = [200, {'zt-outcome': 'ran'}, 'eA==']
-    if answer.startswith(OUTCOME_PREFIX):
-        frame['id'] = answer.removeprefix(OUTCOME_PREFIX)
+    if response.startswith(OUTCOME_PREFIX):
+        frame['id'] = response.removeprefix(OUTCOME_PREFIX)
     proxy.feed('recv', frame)
 
 
-@behave.then('the caller of 5.a is told {status}')
+@behave.then('the caller of 5.a gets {status}')
 def caller_gets_result(context, status: str):
     response = context.proxy.response(1)
     assert (str(response.status) if response else 'nothing') == status, response
--- a/features/steps/calls_late_steps.py
+++ b/features/steps/calls_late_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls_control.feature: three control nodes, whose calls come late and more than once."""
+"""Steps of calls_control.feature: three control nodes, which get copies of requests late and lose responses."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 @behave.given(
-    'a core of three whose asks are copied up to 9 s late to all of them, and their answers lost, under seed {seed:d}'
+    'three control nodes, with requests copied to all of them up to 9 s late and responses lost, under seed {seed:d}'
 )
 def core_with_late_copies(context, seed: int):
     world = context.world = late_calls.LateCopiesWorld(seed, settings.Settings())
@@ -25,7 +25,7 @@
 
 
 def fail_leaders(world, rng: random.Random) -> None:
-    """One leader after the other dies, freezes or is cut off, for a while."""
+    """Crash, freeze or cut off the leader for a while, and then each later leader."""
     leader = world.leader()
     all_run = all(node.up and node.paused is None for node in world.of('core'))
     if leader is not None and all_run and not world.cuts:
@@ -43,17 +43,19 @@
 
 
 @behave.when(
-    'callers give orders, locks, numbers, values and beats for {seconds:d} s while masters die, freeze and are cut off'
+    'callers request evacuations, locks, numbers, values and heartbeats for {seconds:d} s while leaders crash, freeze and are cut off'
 )
-def callers_give_orders_under_faults(context, seconds: int):
+def callers_send_commands_under_faults(context, seconds: int):
     world = context.world
-    context.callers = [late_calls.Caller(world, orders) for orders in late_calls.ALL_ORDERS]
+    context.callers = [late_calls.Caller(world, commands) for commands in late_calls.ALL_COMMANDS]
     fail_leaders(world, random.Random(f'{world.seed}/trouble'))
     world.run(ms(1000 * seconds))
 
 
-@behave.then('after each acknowledgement its effect stands until the next order')
-def acknowledged_effects_stand(context):
-    wrong = [case for caller in context.callers for case in caller.wrong]
-    assert not wrong, wrong
-    assert all(caller.done >= 5 for caller in context.callers), [caller.done for caller in context.callers]
+@behave.then("each acknowledged effect stays in the state until the caller's next command")
+def acknowledged_effects_remain(context):
+    violations = [violation for caller in context.callers for violation in caller.violations]
+    assert not violations, violations
+    assert all(caller.acknowledged_count >= 5 for caller in context.callers), [
+        caller.acknowledged_count for caller in context.callers
+    ]
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -50,7 +50,9 @@
     node.recv('b', 'ask_re', key=node.sent('ask')[0]['key'], result={'status': status, 'number': 1})
 
 
-@behave.when('a caller requests a number, the request is forwarded to b {forwards:d} times and the node becomes leader but is deposed at once')
+@behave.when(
+    'a caller requests a number, the request is forwarded to b {forwards:d} times and the node becomes leader but is deposed at once'
+)
 def number_request_meets_deposed_leader(context, forwards: int):
     node = context.node
     request_number(node, forwards)
@@ -383,7 +385,7 @@
 @behave.when('b is started again from its disk and {duration_ms:d} ms go by')
 def member_restarts_from_disk(context, duration_ms: int):
     node = context.node
-    # Run on first: c does not respond, and its removal commits a version, too.
+    # Run on first, because c does not respond, and its removal commits a version, too.
     node.run(4000)
     node.replica.apply_pending()
     node.replica.committed = (0, 0)
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -11,7 +11,7 @@
   open_traffic_proxy     a proxy for open traffic, its endpoints played
   lookup_directory       a directory that answers lookups over a state of a scenario's making
   credit_pool            a pool's credit ledger, and proxies that ask it
-  operation_cases        each operation of a leader, and what happens before its late copy comes
+  operation_cases        each operation of a leader, and an event before a late copy of its request
   item_store             the state of configuration items, and changes written as short texts
   voter_history          a voter alone with its data folder, and what it remembers
   folder_model           a data folder of which a loss of power may leave any part
--- a/features/support/operation_cases.py
+++ b/features/support/operation_cases.py
@@ -1,4 +1,4 @@
-"""Each operation of the replicated state, with what may happen between it and a late copy of it."""
+"""Each operation that changes the replicated state, with an event between it and a late copy of its request."""
 
 import collections.abc
 import typing
@@ -8,14 +8,14 @@
 CELL = 'r0/c0'
 LOCK = {'name': 'l', 'holder': 'x', 'lease_ms': 5000}
 CLAIM = {'attempt': 1, 'proxy': 'p', 'at': '10.2.0.1:1'}
-# Tables that change without any operation.
+# Tables that the leader changes without a caller's operation.
 OWN_TABLES = ('meta', 'members', 'duties')
 
 Arguments = dict[str, typing.Any]
 
 
 class OperationLeader:
-    """A control node that leads, and operations that b requests of it."""
+    """A control node that leads, and the operations that b requests of it."""
 
     def __init__(self):
         self.node = control_node.ControlNode()
@@ -23,15 +23,15 @@
         self.epoch = self.node.machine.replica.get('meta', 'epoch')
 
     def operate(self, operation: str, **arguments) -> dict[str, typing.Any]:
-        """The result of an operation that the node itself carries out."""
+        """Carry out an operation at the node itself; return its result."""
         return self.node.operate(operation, **arguments)
 
     def newest_round(self) -> list[int]:
-        """The node's [term, heartbeat round]."""
+        """Return the node's [term, heartbeat round]."""
         return [self.node.machine.term, self.node.machine.heartbeat_round]
 
     def request(self, operation: str, arguments: Arguments, **fields) -> dict[str, typing.Any] | None:
-        """The result that b gets by a frame; None where it gets none."""
+        """Request an operation by a frame of b; return the result that b gets, None if it gets none."""
         before = len(self.node.sent('ask_re'))
         self.node.recv('b', 'ask', key='k.1', op=operation, args=arguments, **fields)
         self.node.run(200)
@@ -39,14 +39,14 @@
         return responses[-1]['result'] if responses else None
 
     def state(self) -> dict[str, dict[str, typing.Any]]:
-        """The replicated state, but for what changes by itself."""
+        """Return the replicated state without the tables that the leader changes by itself."""
         tables = self.node.machine.replica.tables
         return {table: dict(rows) for table, rows in tables.items() if table not in OWN_TABLES}
 
     # -- arguments --------------------------------------------------------
 
     def heartbeat(self, incarnation: str, sequence: int, state: str = 'ready') -> Arguments:
-        """A heartbeat of an endpoint."""
+        """Return the arguments of an endpoint's heartbeat."""
         return {
             'inc': incarnation,
             'addr': '10.1.0.1:80',
@@ -58,7 +58,7 @@
         }
 
     def configuration(self, label: str) -> Arguments:
-        """A configuration that gives an endpoint a label."""
+        """Return the arguments that apply a configuration with a label of an endpoint."""
         document = {'pools': {}, 'rules': {}, 'cells': {}, 'labels': {'10.9.9.9:1': {'a': label}}}
         return {
             'config': document,
@@ -67,61 +67,61 @@
         }
 
     def key_put(self, value: str) -> Arguments:
-        """A value for the key k."""
+        """Return the arguments that put a value of key k."""
         return {'key': 'k', 'value': value, 'id': f'{self.epoch}.k{value}'}
 
     def claim(self, nonce: str, attempt: int = 1) -> Arguments:
-        """A proxy's claim of a request."""
+        """Return the arguments of a proxy's claim of a request."""
         return dict(CLAIM, id=f'{self.epoch}.r', nonce=nonce, attempt=attempt)
 
     def close(self, nonce: str) -> Arguments:
-        """The closing of that claim."""
+        """Return the arguments that close that claim."""
         return {'id': f'{self.epoch}.r', 'nonce': nonce}
 
     # -- operations on lock l ---------------------------------------------
 
     def take_lock(self, holder: str) -> str:
-        """Take the lock; what it was taken under."""
+        """Take the lock; return the id of its taking."""
         return self.operate('lock.take', name='l', holder=holder, lease_ms=5000)['take']
 
     def hold_lock(self, holder: str) -> int:
-        """Hold the lock; the fence."""
+        """Hold the lock; return its fence."""
         return self.operate('lock.hold', name='l', holder=holder, lease_ms=5000)['fence']
 
     def pass_lock_on(self) -> int:
-        """Let x yield the lock and y hold it; the fence."""
+        """Have x yield the lock and y hold it; return the new fence."""
         fence = self.node.machine.replica.get('locks', 'l')['fence']
         assert self.operate('lock.yield', name='l', holder='x', fence=fence)['freed']
         return self.hold_lock('y')
 
 
 class OperationCase(typing.NamedTuple):
-    """What prepares an operation and gives its arguments, and what happens before its late copy comes."""
+    """Prepares an operation and returns its arguments; interferes before the late copy of its request arrives."""
 
     prepare: collections.abc.Callable[[OperationLeader], Arguments]
     interfere: collections.abc.Callable[[OperationLeader], typing.Any]
 
 
 def items_of(version: int) -> Arguments:
-    """A change of configuration items: one pool."""
+    """Return the arguments that change one pool among the configuration items."""
     pool = {'name': 's', 'version': version, 'health': '/h', 'connections': version, 'cold_s': 1.0, 'cold_per_s': 1.0}
     return {'change': {'set': {'pools': [pool]}}}
 
 
 def prepare_key_drop(leader: OperationLeader) -> Arguments:
-    """Have the key, so that it can be dropped."""
+    """Put the key that is to be dropped."""
     assert leader.operate('key.put', **leader.key_put('v1'))['status'] == 200
     return {'key': 'k', 'id': f'{leader.epoch}.kd'}
 
 
 def prepare_close(leader: OperationLeader) -> Arguments:
-    """Have the claim, so that it can be closed."""
+    """Make the claim that is to be closed."""
     assert leader.operate('claim', **leader.claim('n1'))['status'] == 200
     return leader.close('n1')
 
 
 def prepare_leave(leader: OperationLeader) -> Arguments:
-    """Have the endpoint, so that it can leave."""
+    """Register the endpoint that is to leave."""
     assert leader.operate('beat', **leader.heartbeat('e', 4))['status'] == 200
     return {'inc': 'e'}
 
