--- a/features/steps/calls_data_steps.py
+++ b/features/steps/calls_data_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls_data.feature: what clients are told while endpoints misbehave on the wire."""
+"""Steps of calls_data.feature: the responses that clients get while endpoints misbehave on their connections."""
 
 import random
 import time
@@ -15,73 +15,73 @@
 
 @behave.given('a proxy on loopback with two scripted endpoints')
 def proxy_with_two_endpoints(context):
-    context.stage = scripted_endpoints.Stage(2)
+    context.loopback = scripted_endpoints.LoopbackProxy(2)
 
 
 @behave.given('a proxy on loopback with one scripted endpoint')
 def proxy_with_one_endpoint(context):
-    context.stage = scripted_endpoints.Stage(1)
+    context.loopback = scripted_endpoints.LoopbackProxy(1)
 
 
-@behave.when('a {kind} request meets an endpoint that {action}')
-def request_meets_endpoint(context, kind: str, action: str):
-    context.stage.script = [endpoint_actions.ACTIONS[action]]
-    context.began = time.monotonic()
-    context.request_id = context.stage.request(kind)
+@behave.when('a {kind} request is sent to an endpoint that {action}')
+def request_is_sent_to_endpoint(context, kind: str, action: str):
+    context.loopback.script = [endpoint_actions.ACTIONS[action]]
+    context.started_at = time.monotonic()
+    context.request_id = context.loopback.request(kind)
 
 
-@behave.when('a {kind} request with {left:d} ms left meets an endpoint that {action}')
-def request_with_time_left_meets_endpoint(context, kind: str, left: int, action: str):
-    context.stage.script = [endpoint_actions.ACTIONS[action]]
-    context.began = time.monotonic()
-    context.request_id = context.stage.request(kind, left)
-    context.took = time.monotonic() - context.began
+@behave.when('a {kind} request with {left:d} ms left is sent to an endpoint that {action}')
+def request_with_time_left_is_sent_to_endpoint(context, kind: str, left: int, action: str):
+    context.loopback.script = [endpoint_actions.ACTIONS[action]]
+    context.started_at = time.monotonic()
+    context.request_id = context.loopback.request(kind, left)
+    context.took = time.monotonic() - context.started_at
 
 
 def serve_and_keep(request_id):
-    """Serve a request, and promise to keep its connection for longer than any pause of a busy machine."""
+    """Serve a request, with a keep-alive timeout that is longer than any pause of a busy machine."""
     return endpoint_actions.serve(request_id, headers=b'Keep-Alive: timeout=9\r\n')
 
 
-@behave.when('a {kind} request is served, and the next one on its connection meets an endpoint that {action}')
-def request_on_kept_connection_meets_endpoint(context, kind: str, action: str):
-    stage = context.stage
-    stage.script = [serve_and_keep, endpoint_actions.ACTIONS[action]]
-    stage.request(kind)
-    context.request_id = stage.request(kind)
-    assert stage.host.endpoint_client.opened == 1, 'the connection was not kept'
+@behave.when('a {kind} request is served, and the next one on its connection is sent to an endpoint that {action}')
+def request_on_reused_connection_is_sent_to_endpoint(context, kind: str, action: str):
+    loopback = context.loopback
+    loopback.script = [serve_and_keep, endpoint_actions.ACTIONS[action]]
+    loopback.request(kind)
+    context.request_id = loopback.request(kind)
+    assert loopback.host.endpoint_client.opened == 1, 'the connection was not reused'
 
 
-@behave.then('its client is told {status:d}, and it ran {runs:d} times')
+@behave.then('its client gets {status:d}, and it ran {runs:d} times')
 def client_gets_status_after_runs(context, status: int, runs: int):
-    stage, request_id = context.stage, context.request_id
-    # One more that is served: what was to be sent again has been by then.
-    stage.request('once')
-    told = stage.told[request_id].status
-    assert (told, len(stage.ran[request_id])) == (status, runs), (told, stage.ran[request_id])
+    loopback, request_id = context.loopback, context.request_id
+    # A further request is served first: by then any retry of this one has been sent.
+    loopback.request('once')
+    received = loopback.responses[request_id].status
+    assert (received, len(loopback.ran[request_id])) == (status, runs), (received, loopback.ran[request_id])
 
 
-@behave.then('no rule of calls is broken')
-def no_rule_is_broken(context):
-    assert not context.stage.violations(), context.stage.violations()
+@behave.then('no guarantee about calls is violated')
+def no_guarantee_is_violated(context):
+    assert not context.loopback.violations(), context.loopback.violations()
 
 
-@behave.when('{count:d} often requests each meet an endpoint that is silent')
-def requests_meet_silent_endpoint(context, count: int):
-    stage = context.stage
-    stage.choose_action = endpoint_actions.ACTIONS['is silent']
-    for request_id, client in [stage.send('often') for _ in range(count)]:
-        stage.receive(request_id, client)
+@behave.when('{count:d} often requests are each sent to an endpoint that is silent')
+def requests_are_sent_to_silent_endpoint(context, count: int):
+    loopback = context.loopback
+    loopback.choose_action = endpoint_actions.ACTIONS['is silent']
+    for request_id, client in [loopback.send('often') for _ in range(count)]:
+        loopback.receive(request_id, client)
 
 
 @behave.then("none was sent to more endpoints than its rule's attempts")
 def attempts_stay_within_rule(context):
-    sent = [len(incarnations) for incarnations in context.stage.arrived.values()]
+    sent = [len(incarnations) for incarnations in context.loopback.arrived.values()]
     assert max(sent) == 2, sent
 
 
-@behave.then("it was told within {margin_ms:d} ms after its rule's time")
-def answer_comes_within_time(context, margin_ms: int):
+@behave.then("its response came within {margin_ms:d} ms after its rule's timeout")
+def response_comes_within_timeout(context, margin_ms: int):
     assert scripted_endpoints.RULE_MS / 1000 <= context.took < (scripted_endpoints.RULE_MS + margin_ms) / 1000, (
         context.took
     )
@@ -89,7 +89,7 @@
 
 @behave.when('{count:d} once requests are served after {delay_ms:d} ms each')
 def slow_requests_are_served(context, count: int, delay_ms: int):
-    stage = context.stage
+    loopback = context.loopback
     connection_type = scripted_endpoints.ScriptedEndpointConnection
     perform = connection_type.perform
 
@@ -97,19 +97,19 @@
         reactor.callLater(delay_ms / 1000, perform, connection, request_id, action)
 
     with mock.patch.object(connection_type, 'perform', perform_later):
-        for request_id, client in [stage.send('once') for _ in range(count)]:
-            assert stage.receive(request_id, client).status == 200
+        for request_id, client in [loopback.send('once') for _ in range(count)]:
+            assert loopback.receive(request_id, client).status == 200
 
 
-@behave.when('{count:d} requests of both kinds meet endpoints that act at random under seed {seed:d}')
-def requests_meet_random_endpoints(context, count: int, seed: int):
-    stage = context.stage
-    stage.rng = random.Random(seed)
-    stage.choose_action = stage.act_at_random
+@behave.when('{count:d} requests of both kinds are sent to endpoints that act at random under seed {seed:d}')
+def requests_are_sent_to_random_endpoints(context, count: int, seed: int):
+    loopback = context.loopback
+    loopback.rng = random.Random(seed)
+    loopback.choose_action = loopback.act_at_random
     for _ in range(0, count, REQUESTS_AT_ONCE):
-        batch = [stage.send(stage.rng.choice(('once', 'often'))) for _ in range(REQUESTS_AT_ONCE)]
+        batch = [loopback.send(loopback.rng.choice(('once', 'often'))) for _ in range(REQUESTS_AT_ONCE)]
         for request_id, client in batch:
-            stage.receive(request_id, client)
-    stage.choose_action = endpoint_actions.serve
+            loopback.receive(request_id, client)
+    loopback.choose_action = endpoint_actions.serve
     for _ in range(4):
-        stage.request('once')
+        loopback.request('once')
--- a/features/support/endpoint_actions.py
+++ b/features/support/endpoint_actions.py
@@ -1,17 +1,17 @@
-"""What a scripted endpoint may do with a request: answer it, in part, for another, or end its connection."""
+"""Actions of scripted endpoints: full, partial or misdirected responses, and ends of the connection."""
 
 import collections.abc
 import dataclasses
 import random
 
-# By these a proxy says that the request was not run.
+# The statuses by which a proxy says that the request was not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-def answer_of(
+def response_to(
     request_id: bytes | None, status: int = 200, headers: bytes = b'', body: bytes | None = None, stamp: bool = True
 ) -> bytes:
-    """The bytes of an endpoint's answer; `request_id` None leaves it without one."""
+    """Return the bytes of an endpoint's response; with `request_id` None it has no id."""
     owner = request_id or b'nobody'
     if body is None:
         body = b'body of %s' % owner
@@ -32,35 +32,35 @@
 
 
 def refusal(request_id: bytes | None, status: int) -> bytes:
-    """The bytes by which an endpoint refuses a request; with 421 it says no more of it."""
-    return answer_of(request_id, status, NOT_RUN if status != 421 else b'', b'', stamp=False)
+    """Return the bytes of an endpoint's refusal; a 421 means by itself that the request was not run."""
+    return response_to(request_id, status, NOT_RUN if status != 421 else b'', b'', stamp=False)
 
 
 @dataclasses.dataclass
 class EndpointAction:
-    """What an endpoint does with one request: whether it runs it, what it writes, how its connection ends."""
+    """What an endpoint does with one request: whether it runs it, the bytes it writes, how it ends the connection."""
 
     runs: bool
     writes: bytes = b''
     ends: str = ''
-    # The status that it gives this very request, as far as it gets that far.
+    # The status of its response to this request, complete or cut off; 0 without one.
     status: int = 0
 
 
 def serve(request_id: bytes, status: int = 200, headers: bytes = b'', ends: str = '') -> EndpointAction:
-    """Run a request and answer it whole."""
-    return EndpointAction(True, answer_of(request_id, status, headers), ends, status)
+    """Run a request and write the full response."""
+    return EndpointAction(True, response_to(request_id, status, headers), ends, status)
 
 
-def serve_in_part(request_id: bytes, where: str, ends: str) -> EndpointAction:
-    """Run a request and answer as far as within the headers, their end, or within the body."""
-    answer = answer_of(request_id)
-    body_start = answer.index(b'\r\n\r\n') + 4
+def serve_partially(request_id: bytes, where: str, ends: str) -> EndpointAction:
+    """Run a request and write its response up to a place in the headers, their end, or a place in the body."""
+    response = response_to(request_id)
+    body_start = response.index(b'\r\n\r\n') + 4
     length = {'headers': 20, 'body start': body_start, 'body': body_start + 3}[where]
-    return EndpointAction(True, answer[:length], ends, 200)
+    return EndpointAction(True, response[:length], ends, 200)
 
 
-# The ids of a request that was never made, and of the first one of a scenario.
+# The id of a request that was never sent, and the id of the first request of a scenario.
 OTHER = b'another'
 FIRST = b'id1'
 ACTIONS: dict[str, collections.abc.Callable[[bytes], EndpointAction]] = {
@@ -70,14 +70,14 @@
     'closes before it reads': lambda request_id: EndpointAction(False, ends='close'),
     'resets after it reads': lambda request_id: EndpointAction(True, ends='reset'),
     'closes after it reads': lambda request_id: EndpointAction(True, ends='close'),
-    'resets within the headers': lambda request_id: serve_in_part(request_id, 'headers', 'reset'),
-    'closes within the headers': lambda request_id: serve_in_part(request_id, 'headers', 'close'),
-    'is silent within the headers': lambda request_id: serve_in_part(request_id, 'headers', ''),
-    'resets after the headers': lambda request_id: serve_in_part(request_id, 'body start', 'reset'),
-    'closes after the headers': lambda request_id: serve_in_part(request_id, 'body start', 'close'),
-    'resets within the body': lambda request_id: serve_in_part(request_id, 'body', 'reset'),
-    'closes within the body': lambda request_id: serve_in_part(request_id, 'body', 'close'),
-    'is silent within the body': lambda request_id: serve_in_part(request_id, 'body', ''),
+    'resets within the headers': lambda request_id: serve_partially(request_id, 'headers', 'reset'),
+    'closes within the headers': lambda request_id: serve_partially(request_id, 'headers', 'close'),
+    'is silent within the headers': lambda request_id: serve_partially(request_id, 'headers', ''),
+    'resets after the headers': lambda request_id: serve_partially(request_id, 'body start', 'reset'),
+    'closes after the headers': lambda request_id: serve_partially(request_id, 'body start', 'close'),
+    'resets within the body': lambda request_id: serve_partially(request_id, 'body', 'reset'),
+    'closes within the body': lambda request_id: serve_partially(request_id, 'body', 'close'),
+    'is silent within the body': lambda request_id: serve_partially(request_id, 'body', ''),
     'closes after the answer': lambda request_id: serve(request_id, ends='close'),
     'refuses with 421': lambda request_id: EndpointAction(False, refusal(request_id, 421)),
     'refuses with 503': lambda request_id: EndpointAction(False, refusal(request_id, 503)),
@@ -92,42 +92,42 @@
         True, refusal(OTHER, 421).replace(b'Content', b'zt-id: %s\r\nContent' % request_id) * 3
     ),
     'runs it and says 503 and nothing else': lambda request_id: EndpointAction(
-        True, answer_of(request_id, 503, b'', b'', stamp=False)
+        True, response_to(request_id, 503, b'', b'', stamp=False)
     ),
     'runs it and refuses the last one again': lambda request_id: EndpointAction(True, refusal(FIRST, 421), 'close'),
-    'answers twice': lambda request_id: EndpointAction(True, answer_of(request_id) * 2, '', 200),
+    'answers twice': lambda request_id: EndpointAction(True, response_to(request_id) * 2, '', 200),
     "answers another's first": lambda request_id: EndpointAction(
-        True, answer_of(OTHER) + answer_of(request_id), '', 200
+        True, response_to(OTHER) + response_to(request_id), '', 200
     ),
     "answers another's 421 first": lambda request_id: EndpointAction(
-        True, refusal(OTHER, 421) + answer_of(request_id), '', 200
+        True, refusal(OTHER, 421) + response_to(request_id), '', 200
     ),
-    "answers another's only": lambda request_id: EndpointAction(True, answer_of(OTHER), 'close'),
-    'answers the last one again': lambda request_id: EndpointAction(True, answer_of(FIRST), 'close'),
+    "answers another's only": lambda request_id: EndpointAction(True, response_to(OTHER), 'close'),
+    'answers the last one again': lambda request_id: EndpointAction(True, response_to(FIRST), 'close'),
     'answers the last one again, and then this': lambda request_id: EndpointAction(
-        True, answer_of(FIRST) + answer_of(request_id), '', 200
+        True, response_to(FIRST) + response_to(request_id), '', 200
     ),
-    'answers without an id': lambda request_id: EndpointAction(True, answer_of(None)),
+    'answers without an id': lambda request_id: EndpointAction(True, response_to(None)),
     'fails with 500': lambda request_id: serve(request_id, 500),
     'fails with 504': lambda request_id: serve(request_id, 504),
     'fails with 404': lambda request_id: serve(request_id, 404),
 }
 
 
-def random_answers(rng: random.Random, request_id: bytes, kinds: collections.abc.Iterable[bytes]) -> list[bytes]:
-    """A random mixture of answers to this request, to another and to none."""
-    answers = [
-        answer_of(OTHER),
-        answer_of(rng.choice(sorted(kinds))),
+def random_responses(rng: random.Random, request_id: bytes, kinds: collections.abc.Iterable[bytes]) -> list[bytes]:
+    """Return a random mixture of responses to this request, to another and to none."""
+    responses = [
+        response_to(OTHER),
+        response_to(rng.choice(sorted(kinds))),
         refusal(OTHER, rng.choice(NOT_RUN_STATUSES)),
         refusal(None, rng.choice(NOT_RUN_STATUSES)),
-        answer_of(request_id, rng.choice((500, 502, 504, 404)), stamp=True),
-        answer_of(request_id),
-        answer_of(None),
+        response_to(request_id, rng.choice((500, 502, 504, 404)), stamp=True),
+        response_to(request_id),
+        response_to(None),
     ]
-    return [rng.choice(answers) for _ in range(rng.randint(1, 4))]
+    return [rng.choice(responses) for _ in range(rng.randint(1, 4))]
 
 
-def statuses_in(answers: collections.abc.Iterable[bytes], request_id: bytes) -> set[int]:
-    """The statuses that answers give a request."""
-    return {int(answer.split()[1]) for answer in answers if b'zt-id: %s\r\n' % request_id in answer}
+def statuses_in(responses: collections.abc.Iterable[bytes], request_id: bytes) -> set[int]:
+    """Return the statuses of the responses to a request."""
+    return {int(response.split()[1]) for response in responses if b'zt-id: %s\r\n' % request_id in response}
--- a/features/support/scripted_endpoints.py
+++ b/features/support/scripted_endpoints.py
@@ -1,7 +1,7 @@
 """A real proxy between raw-socket clients and raw-socket endpoints, on loopback.
 
-Every endpoint notes what it ran and what it said of it; the checks compare
-that with what the clients were told.
+Each endpoint records which requests it ran and with which status; the checks
+compare that with the responses of the clients.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 
 def rule_row(name: str) -> dict:
-    """The rule of the host of its name; `once` runs at most once."""
+    """Return the rule whose name is also its host; requests of `once` run at most once."""
     return {
         'name': name,
         'version': 1,
@@ -49,25 +49,25 @@
 class ScriptedEndpointConnection(protocol.Protocol):
     """One connection of a scripted endpoint."""
 
-    def __init__(self, stage, incarnation):
-        self.stage, self.incarnation, self.data = stage, incarnation, b''
+    def __init__(self, loopback, incarnation):
+        self.loopback, self.incarnation, self.data = loopback, incarnation, b''
 
     def dataReceived(self, data):
-        """Act on each request that has come whole."""
+        """Perform an action for each request whose headers are complete."""
         self.data += data
         while b'\r\n\r\n' in self.data:
             head, _, self.data = self.data.partition(b'\r\n\r\n')
             request_id = head.lower().split(b'zt-id: ')[1].split(b'\r\n')[0]
-            self.perform(request_id, self.stage.choose_action(request_id))
+            self.perform(request_id, self.loopback.choose_action(request_id))
 
     def perform(self, request_id: bytes, action: endpoint_actions.EndpointAction) -> None:
-        """Note what is done with a request, and do it."""
-        stage = self.stage
-        stage.arrived[request_id].append(self.incarnation)
+        """Record and perform an action for a request."""
+        loopback = self.loopback
+        loopback.arrived[request_id].append(self.incarnation)
         if action.runs:
-            stage.ran[request_id].append(self.incarnation)
+            loopback.ran[request_id].append(self.incarnation)
         if action.status:
-            stage.gave[request_id].add(action.status)
+            loopback.given_statuses[request_id].add(action.status)
         if action.writes:
             self.transport.write(action.writes)
         if action.ends == 'close':
@@ -76,44 +76,44 @@
             self.transport.abortConnection()
 
 
-class Stage:
-    """The proxy, its endpoints, and notes of what was run, said and told."""
+class LoopbackProxy:
+    """A proxy on loopback with its endpoints, and records of executed requests, given statuses and received responses."""
 
     def __init__(self, endpoint_count: int, seed: int = 1):
         self.arrived = collections.defaultdict(list)
         self.ran = collections.defaultdict(list)
-        self.gave = collections.defaultdict(set)
-        self.told = {}
+        self.given_statuses = collections.defaultdict(set)
+        self.responses = {}
         self.kinds = {}
-        # Actions for the next requests that arrive, whoever sends them; after them all are served.
+        # Actions for the next requests in the order of their arrival; later ones are served.
         self.script = []
         self.rng = random.Random(seed)
-        self.choose_action = self.next_of_script
+        self.choose_action = self.next_scripted_action
         reactor_thread.call(self.open, endpoint_count, seed)
 
-    def next_of_script(self, request_id: bytes) -> endpoint_actions.EndpointAction:
-        """What the script says of the next request."""
+    def next_scripted_action(self, request_id: bytes) -> endpoint_actions.EndpointAction:
+        """Return the scripted action for the next request, or serve it if the script is over."""
         action = self.script.pop(0) if self.script else endpoint_actions.serve
         return action(request_id)
 
     def act_at_random(self, request_id: bytes) -> endpoint_actions.EndpointAction:
-        """Any action of the table, or a random mixture of answers cut at a random byte."""
+        """Return a random action of the table, or a random mixture of responses cut at a random byte."""
         if self.rng.random() < 0.4:
             return endpoint_actions.serve(request_id)
         if self.rng.random() < 0.5:
             name = self.rng.choice(sorted(endpoint_actions.ACTIONS))
             return endpoint_actions.ACTIONS[name](request_id)
-        answers = endpoint_actions.random_answers(self.rng, request_id, self.kinds)
-        text = b''.join(answers)
+        responses = endpoint_actions.random_responses(self.rng, request_id, self.kinds)
+        text = b''.join(responses)
         if self.rng.random() < 0.5:
             text = text[: self.rng.randrange(len(text) + 1)]
         action = endpoint_actions.EndpointAction(True, text, self.rng.choice(('', 'close', 'reset')))
-        # It may have given any of these statuses: which of them came whole is for the client to find out.
-        self.gave[request_id] |= endpoint_actions.statuses_in(answers, request_id)
+        # It may have given any of these statuses; which response arrives complete depends on the cut.
+        self.given_statuses[request_id] |= endpoint_actions.statuses_in(responses, request_id)
         return action
 
     def open(self, endpoint_count: int, seed: int) -> None:
-        """Start the proxy and its endpoints; on the reactor's thread."""
+        """Start the proxy and its endpoints; runs on the reactor's thread."""
         machine = proxy_node.Proxy(
             node_location.NodeLocation('127.0.0.1:1', '127.0.0.1:2', 'r/c', [], '127.0.0.1:3'),
             settings.Settings(),
@@ -121,7 +121,7 @@
         )
         self.machine = machine
         machine.now = clock.now()
-        # Alone and long there, so that the shared bound on repeats lends it all of the allowance.
+        # The only proxy, and known for a minute, so that the shared retry budget grants it the whole allowance.
         machine.retry_budgets.proxy_counts = retry_budget.ProxyCountHistory(machine.settings, machine.now - ms(60000))
         machine.lease_until = machine.now + ms(10**9)
         rows = [['members', 'm', dict(machine.member_row(), level=1)]]
@@ -138,7 +138,7 @@
         self.port = self.host.open_server.port.getHost().port
 
     def listen_as(self, incarnation: str) -> list:
-        """Let an endpoint listen; its row."""
+        """Start a scripted endpoint; return its row."""
         factory = protocol.ServerFactory()
         factory.buildProtocol = lambda address: ScriptedEndpointConnection(self, incarnation)
         port = reactor.listenTCP(0, factory, interface='127.0.0.1')
@@ -156,7 +156,7 @@
     # -- clients ----------------------------------------------------------
 
     def send(self, kind: str, left: int | None = None) -> tuple[bytes, raw_client.RawClient]:
-        """A request over a connection of its own; (its id, the connection)."""
+        """Send a request over a connection of its own; return (its id, the connection)."""
         request_id = b'id%d' % (len(self.kinds) + 1)
         self.kinds[request_id] = kind
         client = raw_client.RawClient(self.port)
@@ -169,12 +169,12 @@
 
     def receive(self, request_id: bytes, client: raw_client.RawClient) -> 'ClientResponse':
         """Wait for the response to a request."""
-        self.told[request_id] = ClientResponse(client.read())
+        self.responses[request_id] = ClientResponse(client.read())
         client.socket.close()
-        return self.told[request_id]
+        return self.responses[request_id]
 
     def request(self, kind: str, left: int | None = None) -> bytes:
-        """Send a request and wait for its response; its id."""
+        """Send a request and wait for its response; return its id."""
         request_id, client = self.send(kind, left)
         self.receive(request_id, client)
         return request_id
@@ -182,29 +182,29 @@
     # -- checks -----------------------------------------------------------
 
     def violations(self) -> list[str]:
-        """Which rules of calls are broken, in words."""
-        return [text for request_id in self.told for text in self.violations_of(request_id)]
+        """Return a description of each guarantee about calls that is violated."""
+        return [text for request_id in self.responses for text in self.violations_of(request_id)]
 
     def violations_of(self, request_id: bytes) -> collections.abc.Iterator[str]:
-        """Which rules are broken by what became of a request."""
-        told, ran, kind = self.told[request_id], self.ran[request_id], self.kinds[request_id]
+        """Yield a description of each guarantee that was violated for a request."""
+        response, ran, kind = self.responses[request_id], self.ran[request_id], self.kinds[request_id]
         if kind == 'once' and len(ran) > 1:
             yield f'{request_id}: ran {len(ran)} times'
-        if kind == 'once' and told.status in endpoint_actions.NOT_RUN_STATUSES and ran:
-            yield f'{request_id}: told {told.status}, and it ran'
+        if kind == 'once' and response.status in endpoint_actions.NOT_RUN_STATUSES and ran:
+            yield f'{request_id}: got {response.status}, and it ran'
         if len(set(self.arrived[request_id])) > MAX_ATTEMPTS:
             yield f'{request_id}: sent to {self.arrived[request_id]}'
-        if told.stamp is not None:
-            if told.stamp != b'stamp-' + request_id or told.body != b'body of ' + request_id:
-                yield f'{request_id}: got the answer of another, {told}'
-            if told.status not in self.gave[request_id]:
-                yield f'{request_id}: stamped with {told.status}, given {self.gave[request_id]}'
-        elif 200 <= told.status < 300:
+        if response.stamp is not None:
+            if response.stamp != b'stamp-' + request_id or response.body != b'body of ' + request_id:
+                yield f'{request_id}: got the response of another, {response}'
+            if response.status not in self.given_statuses[request_id]:
+                yield f'{request_id}: stamped with {response.status}, given {self.given_statuses[request_id]}'
+        elif 200 <= response.status < 300:
             yield f'{request_id}: a success without a stamp'
 
 
 class ClientResponse:
-    """What a client was told; an answer that is not whole counts as none."""
+    """A response that a client received; raises AssertionError if it is incomplete."""
 
     def __init__(self, data: bytes):
         head, _, self.body = data.partition(b'\r\n\r\n')
