--- a/features/refusals_control.feature
+++ b/features/refusals_control.feature
@@ -1,16 +1,16 @@
 Feature: What a control node refuses of its callers changes nothing
-  As refusals.feature, of the operations that the leader does.
+  Like refusals.feature, for the operations that the leader carries out.
 
   Scenario: A configuration that was based on another one is refused
     Given a control node that leads
-    When a configuration with the label "one" is applied on the present one
-    And a configuration with the label "two" is applied on the one before
+    When a configuration with the label "one" is applied to the current one
+    And a configuration with the label "two" is applied to the one before
     Then the last operation got status 409, and the label is "one"
 
   Scenario: A configuration with a fault is refused
     Given a control node that leads
-    When a configuration with the label "one" is applied on the present one
-    And a configuration with a fault is applied on the present one
+    When a configuration with the label "one" is applied to the current one
+    And an invalid configuration is applied to the current one
     Then the last operation got status 400, and the label is "one"
 
   Scenario: An item's version with another content is refused
@@ -28,7 +28,7 @@
   Scenario: An id of an epoch whose claims are forgotten is not claimed
     Given a control node that leads in epoch 20
     When id 5.x is claimed
-    Then the claim is "old", and nothing is kept of it
+    Then the claim is "old", and nothing is stored of it
 
   Scenario Outline: An operation whose id is of no epoch in use is refused: <id>
     Given a control node that leads in epoch 20
@@ -42,10 +42,10 @@
 
   Scenario: A copy of an evacuation order is acknowledged again and counts once
     Given a control node that leads
-    When a zone is evacuated by order o1 on number 0
-    And the evacuation is taken back by order o2 on number 1
-    And a zone is evacuated by order o1 on number 0
-    Then the last operation got status 200, and the zone takes requests under number 2
+    When a zone is evacuated by command o1 based on number 0
+    And the evacuation is withdrawn by command o2 based on number 1
+    And a zone is evacuated by command o1 based on number 0
+    Then the last operation got status 200, and the zone serves requests, under number 2
 
   Scenario: A heartbeat from before one that changed nothing is passed over
     Given a control node that leads
@@ -56,22 +56,22 @@
 
   Scenario: After a recovery no lock is given before those of before have run out
     Given a control node that leads in epoch 20
-    When locks are closed until epoch 22, and x asks for a lock
+    When no locks are granted until epoch 22, and x requests a lock
     Then x got no lock
-    When epoch 22 has begun, and x asks for a lock
+    When epoch 22 has begun, and x requests a lock
     Then x got the lock
 
   Scenario: Callers of a node that its leader does not count yet are told so within an election's time
-    Given a control node that is sent a commit of b, and no heartbeat
-    When its own caller wants a number
+    Given a control node that gets a commit from b, but no heartbeat
+    When a caller of the node requests a number
     Then it is refused within 500 ms
 
   Scenario: A node that has lost touch with its leader puts no call to it
     Given a control node that follows b
     When 800 ms go by
-    And its own caller wants a number
+    And a caller of the node requests a number
     Then it is refused within 300 ms
-    And b is asked nothing
+    And b gets no request
 
   Scenario Outline: What must be an object and is a list is refused with its place: <what>
     Given a control node that leads
--- a/features/refusals_open.feature
+++ b/features/refusals_open.feature
@@ -1,9 +1,9 @@
 Feature: What a proxy does not send on of open traffic
-  As refusals.feature, of requests that are matched by host and path.
+  Like refusals.feature, for requests that are matched by host and path.
 
   Scenario Outline: A slow request is sent a second time only where its rule allows <attempts> attempts
     Given a proxy of open traffic whose rule allows <attempts> attempts
-    When a request is slow for 1500 ms
+    When a request gets no response for 1500 ms
     Then it has been sent <sends> times
     Examples:
       | attempts | sends |
@@ -12,22 +12,22 @@
 
   Scenario: A slow request is not sent a second time once the lease is over
     Given a proxy of open traffic whose rule allows 2 attempts
-    When a request is slow for 1500 ms, and the lease ends after 100 ms
+    When a request gets no response for 1500 ms, and the lease ends after 100 ms
     Then it has been sent 1 times
 
   Scenario: A proxy with more requests than it may hold refuses the next at once
     Given a proxy of open traffic that may hold 3 requests, and whose endpoints are silent
-    When 6 requests come
+    When 6 requests arrive
     Then 3 of them are refused at once as busy
 
   Scenario: A request that was sent is not sent to another endpoint once the lease is over
     Given a proxy of open traffic whose rule allows 2 attempts
-    When the endpoint of a request is out of reach, and the lease is over by then
+    When the endpoint of a request is unreachable, and the lease has expired by then
     Then it has been sent 1 times
 
   Scenario Outline: A request's id has from 1 to 200 characters: <length>
     Given a proxy of open traffic whose rule allows 2 attempts
-    When a request comes with an id of <length> characters
+    When a request arrives with an id of <length> characters
     Then it has been sent <sends> times
     Examples:
       | length | sends |
@@ -37,5 +37,5 @@
 
   Scenario: A rule with shares sends nothing to a pool whose weight is 0
     Given a proxy of open traffic whose rule gives pool s all of the weight, and the pool after it none
-    When 6 requests come
+    When 6 requests arrive
     Then it has been sent 6 times
--- a/features/steps/refusals_control_steps.py
+++ b/features/steps/refusals_control_steps.py
@@ -11,7 +11,7 @@
 
 
 def put_row(node: control_node.ControlNode, *row) -> None:
-    """Write one row of the state: table, key, value."""
+    """Commit one row of the replicated state: table, key, value."""
     node.machine.submit(lambda txn: txn.put(*row) or {'status': 200}, lambda result: None)
     node.feed('wake')
     node.run(100)
@@ -19,12 +19,12 @@
 
 
 def begin_epoch(node: control_node.ControlNode, epoch: int) -> None:
-    """Have an epoch begin."""
+    """Make an epoch the current one."""
     put_row(node, 'meta', 'epoch', epoch)
 
 
 @behave.given('a control node that leads in epoch {epoch:d}')
-def leads_in_epoch(context, epoch: int):
+def control_node_that_leads_in_epoch(context, epoch: int):
     context.node = control_node.ControlNode()
     context.node.serve()
     begin_epoch(context.node, epoch)
@@ -33,43 +33,43 @@
 # -- configuration --------------------------------------------------------------
 
 
-def present_version(context) -> int:
-    """The version of the configuration that is in force."""
+def current_version(context) -> int:
+    """Return the version of the configuration that is in force."""
     return context.node.machine.replica.get('meta', 'conf') or 0
 
 
 def apply_configuration(context, document: dict, base: int) -> None:
-    """Apply a configuration under a new id."""
+    """Apply a configuration as a change of version `base`, under a new id."""
     epoch = context.node.machine.replica.get('meta', 'epoch')
     context.number = getattr(context, 'number', 0) + 1
-    context.base = present_version(context)
+    context.base = current_version(context)
     arguments = {'config': document, 'base': base, 'id': f'{epoch}.c{context.number}'}
     context.result = context.node.operate('config.apply', **arguments)
 
 
 def document_with_label(label: str) -> dict:
-    """A configuration that gives one endpoint a label."""
+    """Return a configuration that gives one endpoint a label."""
     return {'labels': {ENDPOINT_ADDRESS: {'a': label}}}
 
 
-@behave.when('a configuration with the label "{label}" is applied on the present one')
-def applied_on_present(context, label: str):
-    apply_configuration(context, document_with_label(label), present_version(context))
+@behave.when('a configuration with the label "{label}" is applied to the current one')
+def configuration_is_applied_to_current(context, label: str):
+    apply_configuration(context, document_with_label(label), current_version(context))
     assert context.result['status'] == 200, context.result
 
 
-@behave.when('a configuration with the label "{label}" is applied on the one before')
-def applied_on_earlier(context, label: str):
+@behave.when('a configuration with the label "{label}" is applied to the one before')
+def configuration_is_applied_to_earlier(context, label: str):
     apply_configuration(context, document_with_label(label), context.base)
 
 
-@behave.when('a configuration with a fault is applied on the present one')
-def faulty_applied(context):
-    apply_configuration(context, {'pools': {'x': {'service': 's', 'unknown': 1}}}, present_version(context))
+@behave.when('an invalid configuration is applied to the current one')
+def invalid_configuration_is_applied(context):
+    apply_configuration(context, {'pools': {'x': {'service': 's', 'unknown': 1}}}, current_version(context))
 
 
 @behave.then('the last operation got status {status:d}, and the label is "{label}"')
-def label_is(context, status: int, label: str):
+def operation_got_status_and_label_is(context, status: int, label: str):
     assert context.result['status'] == status, context.result
     assert context.node.machine.replica.get('conf') == {f'labels/{ENDPOINT_ADDRESS}': {'a': label}}
 
@@ -82,7 +82,7 @@
 
 
 @behave.then('the last operation got status {status:d}, and pool s has {connections:d} connections')
-def pool_has(context, status: int, connections: int):
+def operation_got_status_and_pool_has(context, status: int, connections: int):
     assert context.result['status'] == status, context.result
     assert context.node.machine.replica.get('items', 'pools/s')['row']['connections'] == connections
 
@@ -96,8 +96,8 @@
     context.result = context.node.operate('claim', **arguments)
 
 
-@behave.then('the claim is "{outcome}", and nothing is kept of it')
-def claim_is(context, outcome: str):
+@behave.then('the claim is "{outcome}", and nothing is stored of it')
+def claim_has_result(context, outcome: str):
     assert context.result['got'] == outcome, context.result
     assert not context.node.machine.replica.get('claims')
 
@@ -108,7 +108,7 @@
 
 
 @behave.then('the last operation got status {status:d}, and key k {exists}')
-def key_exists(context, status: int, exists: str):
+def operation_got_status_and_key_exists(context, status: int, exists: str):
     assert context.result['status'] == status, context.result
     assert bool(context.node.machine.replica.get('keys', 'k')) == (exists == 'exists')
 
@@ -116,18 +116,18 @@
 # -- evacuations, heartbeats, locks ---------------------------------------------
 
 
-@behave.when('a zone is evacuated by order {order} on number {number:d}')
-def zone_is_evacuated(context, order: str, number: int):
-    context.result = context.node.operate('cell.empty', cell=ZONE, on=True, id=order, number=number)
+@behave.when('a zone is evacuated by command {command} based on number {number:d}')
+def zone_is_evacuated(context, command: str, number: int):
+    context.result = context.node.operate('cell.empty', cell=ZONE, on=True, id=command, number=number)
 
 
-@behave.when('the evacuation is taken back by order {order} on number {number:d}')
-def evacuation_is_taken_back(context, order: str, number: int):
-    context.result = context.node.operate('cell.empty', cell=ZONE, on=False, id=order, number=number)
+@behave.when('the evacuation is withdrawn by command {command} based on number {number:d}')
+def evacuation_is_withdrawn(context, command: str, number: int):
+    context.result = context.node.operate('cell.empty', cell=ZONE, on=False, id=command, number=number)
     assert context.result['status'] == 200, context.result
 
 
-@behave.then('the last operation got status {status:d}, and the zone takes requests under number {number:d}')
+@behave.then('the last operation got status {status:d}, and the zone serves requests, under number {number:d}')
 def zone_takes_requests(context, status: int, number: int):
     assert context.result['status'] == status, context.result
     replica = context.node.machine.replica
@@ -143,62 +143,62 @@
 
 
 @behave.then("the endpoint's row says {state}")
-def endpoint_is(context, state: str):
+def endpoint_has_state(context, state: str):
     assert context.node.machine.replica.get('endpoints', INCARNATION)['state'] == state
 
 
-@behave.when('locks are closed until epoch {epoch:d}, and x asks for a lock')
-def locks_are_closed(context, epoch: int):
+@behave.when('no locks are granted until epoch {epoch:d}, and x requests a lock')
+def lock_is_requested_too_early(context, epoch: int):
     put_row(context.node, 'meta', 'locks_from', epoch)
     context.result = context.node.operate('lock.hold', name='l', holder='x', lease_ms=1000)
 
 
-@behave.when('epoch {epoch:d} has begun, and x asks for a lock')
-def epoch_has_begun(context, epoch: int):
+@behave.when('epoch {epoch:d} has begun, and x requests a lock')
+def lock_is_requested_in_epoch(context, epoch: int):
     begin_epoch(context.node, epoch)
     context.result = context.node.operate('lock.hold', name='l', holder='x', lease_ms=1000)
 
 
 @behave.then('x got no lock')
-def no_lock(context):
+def lock_is_refused(context):
     assert context.result['status'] != 200 and not context.node.machine.replica.get('locks'), context.result
 
 
 @behave.then('x got the lock')
-def got_lock(context):
+def lock_is_granted(context):
     assert context.result['status'] == 200, context.result
 
 
 # -- a follower without heartbeats ----------------------------------------------
 
 
-@behave.given('a control node that is sent a commit of b, and no heartbeat')
-def follows_without_heartbeats(context):
+@behave.given('a control node that gets a commit from b, but no heartbeat')
+def control_node_without_heartbeats(context):
     context.node = node = control_node.ControlNode()
     node.recv('b', 'com', term=control_node.START_TERM, at=control_node.START_VERSION, http='')
     assert node.machine.mode == 'follower' and not node.machine.heartbeats_received
 
 
-@behave.when('its own caller wants a number')
-def caller_asks(context):
+@behave.when('a caller of the node requests a number')
+def caller_requests_number(context):
     context.node.feed('http', 1, effects.HttpRequest('POST', '/v1/number/step', {}, b'{"name": "n"}'))
 
 
 @behave.then('it is refused within {duration:d} ms')
-def refused_within(context, duration):
+def request_is_refused_within(context, duration):
     context.node.run(duration)
     status, document = context.node.responses[1]
     assert status == 503 and document['unknown'] is False, (status, document)
 
 
-@behave.then('b is asked nothing')
-def leader_is_asked_nothing(context):
+@behave.then('b gets no request')
+def leader_gets_no_request(context):
     assert not context.node.sent('ask'), context.node.sent('ask')
 
 
 # -- documents of the wrong shape -----------------------------------------------
 
-# {what is a list: (operation, its arguments)}
+# {the part that is a list: (operation, its arguments)}
 WRONG_DOCUMENTS = {
     'a configuration': ('config.check', {'config': []}),
     'a rule': ('config.check', {'config': {'rules': {'x': ['pool']}}}),
@@ -207,9 +207,9 @@
 }
 
 
-@behave.when('{what} is a list')
-def document_is_list(context, what):
-    operation, arguments = WRONG_DOCUMENTS[what]
+@behave.when('{part} is a list')
+def document_is_list(context, part):
+    operation, arguments = WRONG_DOCUMENTS[part]
     context.result = context.node.operate(operation, **arguments)
 
 
--- a/features/steps/refusals_proxy_steps.py
+++ b/features/steps/refusals_proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps of refusals_proxy.feature: credit, claims and results that a proxy must not act on."""
+"""Steps of refusals_proxy.feature: credit, claims and results that a proxy must ignore or refuse."""
 
 import base64
 
@@ -36,7 +36,7 @@
 
 
 def wait_for_credit(context, **headers: str) -> None:
-    """A request is claimed, and waits for credit."""
+    """Start a proxy with a claimed request that waits for credit."""
     context.proxy = proxy = following_proxy.FollowingProxy()
     context.call = proxy.request(REQUEST_ID, **headers)
     proxy.answer_claim(got='claimed')
@@ -47,18 +47,18 @@
 # -- credit ---------------------------------------------------------------------
 
 
-@behave.when('credit comes from the ledger of fence {fence:d} for the newest request')
-def credit_comes(context, fence):
+@behave.when('credit arrives from the ledger with fence {fence:d} for the newest request')
+def credit_arrives(context, fence):
     context.proxy.grant_credit(fence)
 
 
-@behave.when('credit comes from the ledger of fence {fence:d} for a request that was not made')
-def credit_comes_unasked(context, fence):
+@behave.when('credit arrives from the ledger with fence {fence:d} for a request that was not made')
+def unrequested_credit_arrives(context, fence):
     context.proxy.grant_credit(fence, NUMBER_NEVER_USED)
 
 
-@behave.when('credit comes for an endpoint of r1')
-def credit_comes_for_far(context):
+@behave.when('credit arrives for an endpoint of r1')
+def credit_arrives_for_other_region(context):
     context.proxy.grant_credit(incarnation=following_proxy.FAR_INCARNATION)
 
 
@@ -72,121 +72,121 @@
     assert not context.proxy.fetches, context.proxy.fetches
 
 
-@behave.when('{duration:d} ms go by, in which the ledger grants nothing')
-def time_goes_by(context, duration):
+@behave.when('{duration:d} ms pass, in which the ledger grants nothing')
+def time_passes_without_credit(context, duration):
     assert len(context.proxy.fetches) == 1
     context.proxy.pass_time(duration)
 
 
 @behave.when('another request is claimed')
-def another_is_claimed(context):
+def another_request_is_claimed(context):
     context.proxy.request(SECOND_ID)
     context.proxy.answer_claim(got='claimed')
 
 
 @behave.then('the second request is not sent')
-def second_is_not_sent(context):
+def second_request_is_not_sent(context):
     assert len(context.proxy.fetches) == 1, context.proxy.fetches
 
 
-@behave.when('a ledger of fence {fence:d} collects what is held')
-def ledger_collects(context, fence):
+@behave.when('a ledger with fence {fence:d} collects the credit that proxies hold')
+def ledger_collects_credit(context, fence):
     context.proxy.recv('c', 'collect', pool=following_proxy.POOL, fence=fence)
 
 
-@behave.then('it is told nothing')
-def ledger_told_nothing(context):
+@behave.then('the proxy reports nothing')
+def proxy_reports_nothing(context):
     assert not context.proxy.sent('held')
 
 
-@behave.then('it is told what is held')
-def ledger_told(context):
+@behave.then('the proxy reports what it holds')
+def proxy_reports_held_credit(context):
     assert [frame['held'] for frame in context.proxy.sent('held')] == [{}]
 
 
-@behave.then('credit was asked for')
-def credit_was_asked_for(context):
-    assert len(context.proxy.sent_all('want')) > context.asked_before
+@behave.then('credit was requested')
+def credit_was_requested(context):
+    assert len(context.proxy.sent_all('want')) > context.requests_before
 
 
-@behave.then('no credit was asked for')
-def no_credit_was_asked_for(context):
-    assert len(context.proxy.sent_all('want')) == context.asked_before
+@behave.then('no credit was requested')
+def no_credit_was_requested(context):
+    assert len(context.proxy.sent_all('want')) == context.requests_before
 
 
 # -- claims and results ---------------------------------------------------------
 
 
-@behave.when('its claim is taken by {owner}, and {state}')
-def claim_is_taken(context, owner, state):
+@behave.when('its claim belongs to {owner}, and is {state}')
+def claim_belongs_to_other(context, owner, state):
     context.proxy.answer_claim(got='taken', by=owner, at=machine_host.address_of('p'), state=state, attempt=1)
 
 
-@behave.then('its caller is told {status:d} "{outcome}", and nothing is sent')
-def caller_is_told(context, status, outcome):
-    told, document = context.proxy.responses[context.call]
-    assert (told, document['outcome']) == (status, outcome), (told, document)
+@behave.then('its caller gets {status:d} "{outcome}", and nothing is sent')
+def caller_gets_outcome(context, status, outcome):
+    received, document = context.proxy.responses[context.call]
+    assert (received, document['outcome']) == (status, outcome), (received, document)
     assert not context.proxy.fetches
 
 
-@behave.then('its caller is told nothing yet')
-def caller_is_told_nothing(context):
+@behave.then('its caller gets no response yet')
+def caller_gets_no_response(context):
     assert not context.proxy.responses, context.proxy.responses
 
 
-def answer_query(context, request_id, result) -> None:
-    """The claim's owner answers what it was asked."""
+def respond_to_query(context, request_id, result) -> None:
+    """Let p, which owns the claim, respond to the query for the request's result."""
     key = context.proxy.sent_all('kept')[-1]['key']
     named = {} if request_id is None else {'id': request_id}
     context.proxy.recv('p', 'kept_re', key=key, **named, outcome=result, cell='')
 
 
-@behave.when('p answers with the result of another request')
-def answers_of_another(context):
-    answer_query(context, SECOND_ID, RESULT)
+@behave.when('p responds with the result of another request')
+def response_has_result_of_another(context):
+    respond_to_query(context, SECOND_ID, RESULT)
 
 
-@behave.when('p answers with the result of this request')
-def answers_of_this(context):
-    answer_query(context, REQUEST_ID, RESULT)
+@behave.when('p responds with the result of this request')
+def response_has_result_of_request(context):
+    respond_to_query(context, REQUEST_ID, RESULT)
 
 
-@behave.when('{duration:d} ms go by under the lease')
-def goes_by_under_lease(context, duration):
-    context.asked_before = len(context.proxy.sent_all('want'))
+@behave.when('{duration:d} ms pass under the lease')
+def time_passes_under_lease(context, duration):
+    context.requests_before = len(context.proxy.sent_all('want'))
     context.proxy.pass_time(duration)
 
 
-@behave.when('{duration:d} ms go by without a lease')
-def goes_by_without_lease(context, duration):
-    context.asked_before = len(context.proxy.sent_all('want'))
+@behave.when('{duration:d} ms pass without a lease')
+def time_passes_without_lease(context, duration):
+    context.requests_before = len(context.proxy.sent_all('want'))
     for number in range(duration // 100):
         context.proxy.run(100)
-        # The leader is there, and grants nothing.
+        # The leader sends heartbeats, but grants no lease.
         context.proxy.recv('b', 'chk', term=3, to=context.proxy.machine.node, round=100 + number, http='')
     assert context.proxy.machine.leader and not context.proxy.machine.has_lease()
 
 
-@behave.then('its caller was answered once')
-def answered_once(context):
+@behave.then('its caller got one response')
+def caller_got_one_response(context):
     assert context.proxy.answered == [context.call], context.proxy.answered
 
 
-@behave.when('p answers that it knows no result')
-def answers_without_result(context):
-    answer_query(context, REQUEST_ID, None)
+@behave.when('p responds that it has no result')
+def response_has_no_result(context):
+    respond_to_query(context, REQUEST_ID, None)
 
 
-@behave.when("p answers with a result and no request's id")
-def answers_without_id(context):
-    answer_query(context, None, RESULT)
+@behave.when("p responds with a result without a request's id")
+def response_has_no_request_id(context):
+    respond_to_query(context, None, RESULT)
 
 
-@behave.when('a request with id {request_id} comes')
-def request_comes(context, request_id):
+@behave.when('a request with id {request_id} arrives')
+def request_arrives(context, request_id):
     context.call = context.proxy.request(request_id)
 
 
-@behave.then('no claim is asked for')
-def no_claim_asked(context):
+@behave.then('no claim is requested')
+def no_claim_is_requested(context):
     assert not context.proxy.sent_all('ask')
