--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -9,8 +9,8 @@
   leading_control_node   a leader without other voters, with proxies
   following_proxy        a proxy that follows b, with a lease and a pool of two endpoints
   open_traffic_proxy     a proxy for open traffic, its endpoints played
-  lookup_directory       a directory that answers lookups over a state of a scenario's making
-  credit_pool            a pool's credit ledger, and proxies that ask it
+  lookup_directory       a directory that serves lookups from a state that the scenario defines
+  credit_pool            a pool's credit ledger, and proxies that request credit from it
   operation_cases        each operation of a leader, and an event before a late copy of its request
   item_store             the state of configuration items, and changes written as short texts
   voter_history          a voter alone with its data folder, and what it remembers
--- a/features/support/credit_pool.py
+++ b/features/support/credit_pool.py
@@ -1,4 +1,4 @@
-"""A pool's credit ledger, and proxies that ask it for credit."""
+"""A pool's credit ledger, and proxies that request credit from it."""
 
 import typing
 
@@ -14,7 +14,7 @@
 
 
 def endpoint_row(index: int, text: str) -> list:
-    """The row of an endpoint that is written as `SLOTS [cold LEFT] [draining] [evacuated]`."""
+    """Return the row of an endpoint that is written as `SLOTS [cold LEFT] [draining] [evacuated]`."""
     words = text.split()
     row: dict[str, typing.Any] = {
         'addr': f'10.0.0.{index + 1}:80',
@@ -29,7 +29,7 @@
 
 
 class CreditPool:
-    """The ledger of a pool of endpoints, written with commas between them."""
+    """The ledger of a pool, whose endpoints are written with commas between them."""
 
     def __init__(self, endpoints: str):
         rows = [['conf', f'pools/{POOL}', {'service': 's'}], ['cells', 'gone', {'evacuated': True}]]
@@ -40,14 +40,14 @@
         self.routes = routing_table.RoutingTable(state)
         self.ledger = credit_ledger.CreditLedger(POOL, FENCE, settings.Settings())
         self.now = durations.ZERO
-        # By proxy: the number of the newest grant it has applied, and what it was granted of each endpoint.
+        # By proxy: the number of the newest grant that it applied, and its granted slots by endpoint.
         self.applied: dict[str, int] = {}
         self.grants: dict[str, dict[str, int]] = {}
 
     def request(self, proxy: str, need: int, is_lost: bool = False, is_idle: bool = False) -> dict[str, int] | None:
-        """What a proxy with so many waiting requests is granted of each endpoint; None if the ledger grants nothing yet.
+        """Request credit for `need` waiting requests; return the slots granted by endpoint, None if nothing is granted yet.
 
-        A grant that is lost on its way is not applied by the proxy.
+        A proxy does not apply a grant that is lost on its way.
         """
         self.now += REQUEST_GAP
         demand = credit_ledger.Demand(self.applied.get(proxy, 0), {}, {'': need}, is_idle, {})
@@ -55,7 +55,7 @@
         if grant is None:
             return None
         if is_lost:
-            # What it had, because as far as the ledger's owner knows, what was sent may have been taken.
+            # Its earlier grant stays: the ledger's owner, for its part, must assume that the lost one was applied.
             self.grants[proxy] = self.grants.get(proxy, {})
         else:
             self.grants[proxy] = grant
@@ -63,6 +63,6 @@
         return grant
 
     def requests(self, needs: str) -> None:
-        """Proxies p0, p1 and so on ask in turn; their needs are written with commas between them."""
+        """Request credit for proxies p0, p1 and so on in turn; their needs are written with commas between them."""
         for index, need in enumerate(needs.split(',')):
             self.request(f'p{index}', int(need))
