--- a/features/steps/proxy_lookup_steps.py
+++ b/features/steps/proxy_lookup_steps.py
@@ -10,7 +10,7 @@
 
 LARGE = 'r0'
 ORDERS = 50
-ANSWERS = 100
+RESPONSES = 100
 
 
 @behave.given('a directory with three regions of three proxies')
@@ -19,38 +19,38 @@
 
 
 def names_in(text: str) -> list[str]:
-    """The names in a text; 'none' has none."""
+    """Return the names in a text; the text 'none' has no names."""
     return [] if text == 'none' else text.split()
 
 
-@behave.when('proxies {away} leave, and clients in {zone} ask for {host}')
+@behave.when('proxies {away} leave, and clients in {zone} look up {host}')
 def proxies_leave(context, away: str, zone: str, host: str):
     context.directory.leave(names_in(away))
-    context.answers = context.directory.answers(zone, host)
+    context.responses = context.directory.lookup_responses(zone, host)
 
 
-@behave.when("proxies {away} leave, and a library's client in {zone} asks for {most:d} proxies")
-def library_client_asks(context, away: str, zone: str, most: int):
+@behave.when('proxies {away} leave, and a client that uses the zinctrail library in {zone} requests {most:d} proxies')
+def library_client_requests_proxies(context, away: str, zone: str, most: int):
     context.directory.leave(names_in(away))
-    context.answers = [
+    context.responses = [
         [
             address.partition(':')[0]
             for address in context.directory.proxy_lookup.find_proxies([], zone, most)['proxies']
         ]
-        for _ in range(ANSWERS)
+        for _ in range(RESPONSES)
     ]
 
 
-@behave.then('each answer names {near}, and {spares:d} of {regions}')
-def answers_name(context, near: str, spares: int, regions: str):
+@behave.then('each response names {near}, and {spares:d} of {regions}')
+def responses_name(context, near: str, spares: int, regions: str):
     own = sorted(names_in(near))
     named_regions = set()
-    for answer in context.answers:
-        others = [front for front in answer if front not in own]
-        assert sorted(front for front in answer if front in own) == own, answer
-        assert len(set(others)) == len(others) == spares, answer
-        named_regions |= {front[:2] for front in others}
-    # Each region that may help does so in some answer.
+    for response in context.responses:
+        others = [ingress for ingress in response if ingress not in own]
+        assert sorted(ingress for ingress in response if ingress in own) == own, response
+        assert len(set(others)) == len(others) == spares, response
+        named_regions |= {ingress[:2] for ingress in others}
+    # Each region that may provide spare proxies does so in some response.
     assert named_regions == set(names_in(regions)), named_regions
 
 
@@ -64,18 +64,18 @@
     context.directory = lookup_directory.LookupDirectory(proxies)
 
 
-@behave.when('{count:d} of one region leave, and clients there ask for {host}')
+@behave.when('{count:d} of one region leave, and clients there look up {host}')
 def many_leave(context, count: int, host: str):
     names = [name for name in context.directory.replica.get('members') if name.startswith(LARGE)]
     context.directory.leave(names[:count])
-    context.answers = context.directory.answers(f'{LARGE}/0', host)
+    context.responses = context.directory.lookup_responses(f'{LARGE}/0', host)
 
 
-@behave.then('the {left:d} that are left and {spares:d} of other regions are in each answer')
-def answers_name_left_and_spares(context, left: int, spares: int):
-    for answer in context.answers:
-        own = [front for front in answer if front.startswith(LARGE)]
-        assert (len(own), len(answer) - len(own)) == (left, spares), answer
+@behave.then('each response names the {remaining:d} that remain and {spares:d} of other regions')
+def responses_name_remaining_and_spares(context, remaining: int, spares: int):
+    for response in context.responses:
+        own = [ingress for ingress in response if ingress.startswith(LARGE)]
+        assert (len(own), len(response) - len(own)) == (remaining, spares), response
 
 
 @behave.given('a directory that knows no proxy yet')
@@ -86,8 +86,8 @@
 @behave.when('the proxies of three regions become known one after another, in 50 orders')
 def proxies_become_known(context):
     rng = random.Random(1)
-    # (proxies that were known, the fronts of an answer).
-    context.answers = []
+    # (proxies that were known, the ingresses of a response).
+    context.responses = []
     for _ in range(ORDERS):
         directory = lookup_directory.LookupDirectory({})
         known: list[str] = []
@@ -95,14 +95,16 @@
             directory.commit(rows=[['members', name, context.proxies[name]]])
             known.append(name)
             for zone in ('r0/a', 'r0/b', 'r1/a', 'r1/b'):
-                context.answers += [(list(known), answer) for answer in directory.answers(zone, 'h01', 3)]
+                context.responses += [
+                    (list(known), response) for response in directory.lookup_responses(zone, 'h01', 3)
+                ]
 
 
-@behave.then('no answer for h01 in r0 or r1 names r2 once any of r0 or r1 is known')
-def nobody_is_led_away(context):
-    judged = [answer for known, answer in context.answers if any(name[:2] in ('r0', 'r1') for name in known)]
-    led_away = [answer for answer in judged if any(front.startswith('r2') for front in answer)]
-    assert len(judged) > 1000 and not led_away, led_away[:3]
+@behave.then('no response for h01 in r0 or r1 names r2 once any of r0 or r1 is known')
+def no_client_is_misdirected(context):
+    checked = [response for known, response in context.responses if any(name[:2] in ('r0', 'r1') for name in known)]
+    misdirected = [response for response in checked if any(ingress.startswith('r2') for ingress in response)]
+    assert len(checked) > 1000 and not misdirected, misdirected[:3]
 
 
 @behave.then('a lookup with {body} is refused with 400')
--- a/features/support/lookup_directory.py
+++ b/features/support/lookup_directory.py
@@ -1,4 +1,4 @@
-"""A directory that answers lookups over a state which a scenario puts together; its lease never ends."""
+"""A directory that serves lookups from a state that the scenario defines; its lease never expires."""
 
 import datetime
 import random
@@ -19,11 +19,11 @@
     'h0.1': [['r0'], ['r1']],
     'h01.12': [['r0', 'r1'], ['r1', 'r2']],
 }
-MOST = 64
+MAX_INGRESSES = 64
 
 
 def rule_rows() -> dict[str, dict[str, typing.Any]]:
-    """The items of all rules."""
+    """Return the items of all rules."""
     rules = {}
     for host, homes in HOMES.items():
         for number, regions in enumerate(homes):
@@ -33,12 +33,12 @@
 
 
 def proxy_row(name: str, zone: str) -> dict[str, typing.Any]:
-    """The row of a proxy, whose front is its name."""
+    """Return the row of a proxy, whose ingress address is its name."""
     return {'role': 'prox', 'addr': f'{name}:1', 'http': f'{name}:2', 'front': name, 'cell': zone, 'level': 2}
 
 
 def three_regions() -> dict[str, dict[str, typing.Any]]:
-    """{name: row} of three proxies in each of r0, r1 and r2: two in zone a and one in zone b."""
+    """Return {name: row} of three proxies in each of r0, r1 and r2: two in zone a and one in zone b."""
     return {
         f'r{region}{place}': proxy_row(f'r{region}{place}', f'r{region}/{place[0]}')
         for region in range(3)
@@ -47,7 +47,7 @@
 
 
 class LookupMember:
-    """A member that serves lookups over a state, as `proxy_lookup.LookupNode` has it."""
+    """A member that serves lookups from a state; implements `proxy_lookup.LookupNode`."""
 
     def __init__(self, state: replica.Replica):
         self.node = 'directory'
@@ -59,11 +59,11 @@
         self.proxy_lookup = proxy_lookup.ProxyLookup(self)
 
     def has_lease(self) -> bool:
-        """It may always act on its state."""
+        """Return True: the member may always act on its state."""
         return True
 
     def lease_remaining(self) -> datetime.timedelta:
-        """How long the lease lasts yet."""
+        """Return how long the lease remains valid."""
         return durations.ms(1000)
 
     def log(self, text: str, event: str = '', **fields: typing.Any) -> None:
@@ -71,7 +71,7 @@
 
 
 class LookupDirectory(LookupMember):
-    """One whose state has rules for each of HOMES, and proxies that a scenario lets come and go."""
+    """A directory whose state has the rules of HOMES, and proxies that a scenario adds and removes."""
 
     def __init__(self, proxies: dict[str, dict[str, typing.Any]]):
         super().__init__(replica.Replica())
@@ -79,17 +79,17 @@
         self.commit(tables={'members': dict(proxies), 'items': rule_rows(), 'cells': {}})
 
     def commit(self, **content) -> None:
-        """Bring a version of the state into force: `tables` or `rows`."""
+        """Commit a version of the state, given as `tables` or `rows`."""
         self.version += 1
         self.replica.accept((1, self.version), **content)
         self.replica.commit((1, self.version))
         self.routes.invalidate()
 
     def leave(self, names: list[str]) -> None:
-        """These proxies say that they leave."""
+        """Mark proxies as shutting down."""
         members = self.replica.get('members')
         self.commit(rows=[['members', name, dict(members[name], leaving=True)] for name in names])
 
-    def answers(self, zone: str, host: str, count: int = 100) -> list[list[str]]:
-        """The fronts that so many answers name."""
-        return [self.proxy_lookup.find_ingresses(zone, MOST, host)['proxies'] for _ in range(count)]
+    def lookup_responses(self, zone: str, host: str, count: int = 100) -> list[list[str]]:
+        """Return the ingresses that each of `count` lookup responses names."""
+        return [self.proxy_lookup.find_ingresses(zone, MAX_INGRESSES, host)['proxies'] for _ in range(count)]
