--- a/features/steps/recover_steps.py
+++ b/features/steps/recover_steps.py
@@ -1,4 +1,4 @@
-"""Steps of recover.feature: a core that lost its majority for good is recovered on new control nodes."""
+"""Steps of recover.feature: a core that permanently lost its majority is recovered on new control nodes."""
 
 import json
 import typing
@@ -13,7 +13,7 @@
 
 ms = durations.ms
 CALL_TIMEOUT = ms(4000)
-# How long the nodes that are left go on before they are looked at.
+# How long the remaining nodes run before their copies are read.
 SETTLING_TIME = ms(4000)
 SEED = 7
 LOCK_LEASE_MS = 60000
@@ -22,14 +22,14 @@
 
 
 class Response(typing.NamedTuple):
-    """What an operator got of a call."""
+    """An operator's response to a call."""
 
     status: int
     document: dict[str, typing.Any]
 
 
 class OldCounters(typing.NamedTuple):
-    """The counters of the cluster that is lost."""
+    """The identity and counters of the lost cluster."""
 
     cluster: str
     term: int
@@ -38,7 +38,7 @@
 
 
 def call(context, node, method, path, body=None):
-    """Call a node as an operator does."""
+    """Call a node as an operator does; return its response."""
     results = []
     data = json.dumps(body).encode() if body is not None else b''
     deferred = context.world.fetch('operator', node.location.http, method, path, {}, data, CALL_TIMEOUT)
@@ -49,13 +49,13 @@
 
 
 def copies(context):
-    """The copies of the state that the running nodes hold."""
+    """Return the copies of the state that the running nodes hold."""
     responses = [call(context, node, 'GET', '/v1/copy') for node in context.world.nodes.values() if node.up]
     return [response.document for response in responses if response.status == 200]
 
 
 def running_node(context, role):
-    """The first running node of a role."""
+    """Return the first running node of a role."""
     return next(node for node in context.world.of(role) if node.up)
 
 
@@ -77,7 +77,7 @@
 
 
 def write_state(context):
-    """Make numbers, a key and a lock."""
+    """Create numbers, a key and a lock."""
     directory = context.world.of('dir')[1]
     epoch = directory.machine.replica.get('meta', 'epoch')
     for index in range(5):
@@ -105,14 +105,14 @@
 
 
 def lose(nodes):
-    """Let machines be lost with their disks."""
+    """Kill nodes and destroy their disks."""
     for node in nodes:
         node.kill(power=True)
         node.destroyed = True
 
 
 def recover(context):
-    """Recover the core on new control nodes, from what the nodes that are left hold."""
+    """Recover the core on new control nodes from the copies of the remaining nodes."""
     simulated = context.world
     simulated.run(SETTLING_TIME)
     seeds = [node.location.addr for node in simulated.of('dir') + simulated.of('prox') if node.up][:3]
@@ -129,24 +129,24 @@
 
 
 def lose_region(context, region):
-    """Let all nodes and endpoints of a region be lost."""
+    """Destroy all nodes of a region, and kill its endpoints."""
     lose([node for node in context.world.nodes.values() if node.location.cell.startswith(region)])
     for endpoint in context.deployment.endpoints:
         if endpoint.cell.startswith(region):
             endpoint.kill()
 
 
-@behave.when('{lost} are lost for good, and the core is recovered on a new one')
-def cores_are_lost_and_recovered(context, lost: str):
+@behave.when('{lost} are permanently lost, and the core is recovered on new ones')
+def control_nodes_are_lost_and_recovered(context, lost: str):
     control_nodes = context.world.of('core')
-    context.survivor = control_nodes[0] if lost == 'two cores' else None
-    lose(control_nodes[1:] if lost == 'two cores' else control_nodes)
+    context.survivor = control_nodes[0] if lost == 'two control nodes' else None
+    lose(control_nodes[1:] if lost == 'two control nodes' else control_nodes)
     if 'region' in lost:
         lose_region(context, 'r2')
     recover(context)
 
 
-@behave.then('the settings are read back whole, and requests run again within {seconds:d} s')
+@behave.then('the settings are read back in full, and requests run again within {seconds:d} s')
 def settings_are_recovered(context, seconds: int):
     simulated = context.world
     runs = context.deployment.notes.runs
@@ -178,7 +178,7 @@
         assert call(context, directory, 'POST', '/v1/number/next', body).document['number'] > 5
     body = {'key': 'other', 'value': 'v', 'id': f'{epoch}.k'}
     assert call(context, directory, 'POST', '/v1/key/put', body).document['rev'] > context.key['rev']
-    # It is told, because what happened in between is not known any more.
+    # The watch gets 410, because the events in between are not known any more.
     watch = {'prefix': '', 'since': context.key['rev']}
     assert call(context, directory, 'POST', '/v1/key/watch', watch).status == 410
 
@@ -190,7 +190,7 @@
     assert (response.status, response.document.get('value')) == expectations[expected], response
 
 
-@behave.then('no lock is given to another before its old holder must have stopped')
+@behave.then('no lock is granted to another holder before the old lease has expired')
 def locks_wait_for_old_holders(context):
     simulated = context.world
     body = {'name': 'l', 'holder': 'y', 'lease_ms': 5000}
@@ -204,14 +204,14 @@
     assert response.document['fence'] > context.lock['fence'], response
 
 
-def run_counts(context):
-    """How often each of the old requests ran."""
+def execution_counts(context):
+    """Return how often each of the old requests ran, by id."""
     runs = context.deployment.notes.runs
     return {old.id: sum(run.id == old.id for run in runs) for old in context.old_runs}
 
 
-def send_again(context, request_id):
-    """Send a request again through a proxy that runs; the result."""
+def resend(context, request_id):
+    """Send an old request again through a running proxy; return the result."""
     headers = {'zt-id': request_id, 'zt-attempt': '2', 'zt-left-ms': '3000'}
     address = running_node(context, 'prox').location.http
     results = []
@@ -221,23 +221,23 @@
     return results[0]
 
 
-@behave.then('ids of before are told unknown, and run no second time')
+@behave.then('old requests get an unknown outcome, and do not run again')
 def old_ids_are_unknown(context):
-    before = run_counts(context)
+    before = execution_counts(context)
     for old in context.old_runs:
-        result = send_again(context, old.id)
+        result = resend(context, old.id)
         assert json.loads(result.body)['outcome'] == 'unknown', result
-    after = run_counts(context)
+    after = execution_counts(context)
     assert before == after and len(before) == 5, (before, after)
 
 
-@behave.when('the surviving old core goes on with its old disk')
-def surviving_core_goes_on(context):
+@behave.when('the surviving old control node keeps running with its old disk')
+def surviving_node_keeps_running(context):
     context.world.run(ms(5000))
 
 
-@behave.then('it knows that its cluster was given up, also after a restart, and is no member')
-def surviving_core_knows_it_was_replaced(context):
+@behave.then('it knows that its cluster was superseded, also after a restart, and is no member')
+def surviving_node_knows_it_was_replaced(context):
     survivor = context.survivor
     for _ in range(2):
         machine = survivor.machine
@@ -249,24 +249,24 @@
         context.world.run(ms(5000))
 
 
-@behave.when('all old cores are cut off, and the core is recovered on a new one')
-def cores_are_cut_off_and_recovered(context):
+@behave.when('all old control nodes are cut off, and the core is recovered on new ones')
+def control_nodes_are_cut_off_and_recovered(context):
     simulated = context.world
     context.old_control_nodes = simulated.of('core')
     names = {node.name for node in context.old_control_nodes}
-    # Nodes that do not exist yet as well, because they are to find the old control nodes gone.
+    # From the nodes that do not exist yet as well, because the old control nodes must be unreachable to them, too.
     simulated.partition(names, [*simulated.nodes, 'new0', 'new1', 'new2', 'operator'])
     recover(context)
     simulated.run(ms(4000))
 
 
-@behave.when('the old cores are back')
-def old_cores_return(context):
+@behave.when('the old control nodes are reachable again')
+def old_control_nodes_return(context):
     context.world.heal()
     context.world.run(ms(8000))
 
 
-@behave.then('one master leads everybody, and none of the old')
+@behave.then('one new leader leads all nodes, and no old control node leads')
 def one_new_leader_leads(context):
     old_nodes = context.old_control_nodes
     assert all(node.machine.cluster_replacement.replaced_by and node.machine.mode != 'leader' for node in old_nodes)
@@ -279,31 +279,31 @@
 # -- recoveries that are refused ----------------------------------------------
 
 
-def judge_recovery(context, target):
-    """Keep why a recovery on a target, given by its address, is refused."""
+def plan_recovery(context, target):
+    """Plan a recovery on the node at an address; `context.refusal` holds the reasons against it."""
     plan = recovery.RecoveryPlan(copies(context), target)
     context.refusal = ' '.join(plan.faults)
 
 
-def judge_recovery_on_first(context):
-    """The same of the first control node."""
-    judge_recovery(context, context.world.of('core')[0].location.http)
+def plan_recovery_on_first(context):
+    """Plan a recovery on the first control node."""
+    plan_recovery(context, context.world.of('core')[0].location.http)
 
 
 @behave.when('nothing is lost')
 def nothing_is_lost(context):
-    judge_recovery_on_first(context)
+    plan_recovery_on_first(context)
 
 
-@behave.when('one core is lost')
+@behave.when('one control node is lost')
 def one_core_is_lost(context):
     follower = next(node for node in context.world.of('core') if node is not context.world.leader())
     lose([follower])
     context.world.run(SETTLING_TIME)
-    judge_recovery_on_first(context)
+    plan_recovery_on_first(context)
 
 
-@behave.when('a majority is there but has no master')
+@behave.when('a majority of the voters runs without a leader')
 def majority_has_no_leader(context):
     control_nodes = context.world.of('core')
     for node in control_nodes:
@@ -311,42 +311,42 @@
     context.world.run(SETTLING_TIME)
     for node in control_nodes[:2]:
         node.start()
-    judge_recovery_on_first(context)
+    plan_recovery_on_first(context)
 
 
-def lose_core(context):
-    """Let all control nodes be lost."""
+def lose_control_nodes(context):
+    """Destroy all control nodes."""
     lose(context.world.of('core'))
     context.world.run(SETTLING_TIME)
 
 
-@behave.when('every core is lost and no target named')
+@behave.when('all control nodes are lost and no target is named')
 def no_target_is_named(context):
-    lose_core(context)
-    judge_recovery(context, None)
+    lose_control_nodes(context)
+    plan_recovery(context, None)
 
 
 @behave.when('the target is a directory')
 def target_is_directory(context):
-    lose_core(context)
-    judge_recovery(context, context.world.of('dir')[0].location.http)
+    lose_control_nodes(context)
+    plan_recovery(context, context.world.of('dir')[0].location.http)
 
 
 def start_empty_control_node(context):
-    """Start a new control node that knows nobody who is there."""
+    """Start a new control node whose only seed address belongs to no node."""
     node = context.world.add('new0', 'core', 'r0/c0', ['10.99.0.1:1'])
     node.start()
     return node
 
 
-@behave.when('nobody holds a copy')
-def nobody_holds_copy(context):
+@behave.when('no node holds a copy')
+def no_node_holds_copy(context):
     lose(list(context.world.nodes.values()))
-    judge_recovery(context, start_empty_control_node(context).location.http)
+    plan_recovery(context, start_empty_control_node(context).location.http)
 
 
-@behave.when('garbage is sent to an empty core')
-def garbage_is_sent_to_empty_core(context):
+@behave.when('garbage is sent to an empty control node')
+def garbage_is_sent_to_empty_node(context):
     node = start_empty_control_node(context)
     bodies = (
         {},
@@ -360,8 +360,8 @@
     context.refusal = str(statuses)
 
 
-@behave.when('a recovery is sent to a core with state')
-def recovery_is_sent_to_core_with_state(context):
+@behave.when('a recovery is sent to a node with state')
+def recovery_is_sent_to_node_with_state(context):
     nodes = context.world.of('core') + context.world.of('dir')
     statuses = {call(context, node, 'POST', '/v1/recover', EMPTY_RECOVERY).status for node in nodes}
     assert len(statuses) == 1, statuses
