--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -1,4 +1,4 @@
-"""Steps of orders.feature: configuration items and their versions, in every order."""
+"""Steps of orders.feature: changes of configuration items that are retried, late or in conflict."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 
 def held_versions(result):
-    """Which versions a refused change met, as NAME:VERSION; `nothing` where it met none."""
+    """Return the versions with which a refused change conflicts, as NAME:VERSION; `nothing` if there are none."""
     rows = result.get('held', ())
     return ', '.join(f'{row["name"] or row["part"]}:{row["version"]}' for row in rows) or 'nothing'
 
@@ -31,23 +31,23 @@
         context.store.apply_event(text)
 
 
-@behave.when('the change {text} is asked for')
+@behave.when('the change {text} is requested')
 def change_is_requested(context, text: str):
     context.before = context.store.replica.full_state()
     context.result = context.store.change(text)
 
 
-@behave.then('it gets {status:d} and r1 stands as {stands}, read back so')
-def rule_has_version_and_content(context, status: int, stands: str):
+@behave.then('it gets {status:d}, and r1 is {rule}, also when read back')
+def rule_has_version_and_content(context, status: int, rule: str):
     assert context.result['status'] == status, context.result
     item = context.store.item('rules/r1')
     read = [row for row in context.store.read()['rules'] if row['name'] == 'r1']
-    expected = item_store.parse_change(f'r1:{stands}')
+    expected = item_store.parse_change(f'r1:{rule}')
     assert read == expected['set']['rules'], read
     assert item['v'] == (read or expected['drop']['rules'])[0]['version'], item
 
 
-@behave.then('a refusal names {names}, and nothing of the call was taken')
+@behave.then('a refusal names {names}, and no part of the change was applied')
 def refusal_names_items(context, names: str):
     assert held_versions(context.result) == names, context.result
     if context.result['status'] != 200:
@@ -85,7 +85,7 @@
         context.store.apply_event(text)
 
 
-@behave.when('an epoch later r1 goes on to 6, 7 and 8, and an epoch passes')
+@behave.when('an epoch later r1 is changed to 6, 7 and 8, and another epoch passes')
 def epochs_pass_between_changes(context):
     context.store.begin_epoch()
     for version in (6, 7, 8):
@@ -93,10 +93,12 @@
     context.store.begin_epoch()
 
 
-@behave.then('{count:d} digests are kept, those of 6 and 7')
-def digests_are_kept(context, count: int):
-    kept = sorted(key for key in context.store.replica.get(version_contents.TABLE) if key != version_contents.COMPLETE)
-    assert kept == ['6/rules/r1', '7/rules/r1'] and len(kept) == count, kept
+@behave.then('{count:d} digests are retained, those of 6 and 7')
+def digests_are_retained(context, count: int):
+    retained = sorted(
+        key for key in context.store.replica.get(version_contents.TABLE) if key != version_contents.COMPLETE
+    )
+    assert retained == ['6/rules/r1', '7/rules/r1'] and len(retained) == count, retained
 
 
 @behave.then('contents of a rule with x of {one} and of {other} are {expected}')
@@ -115,7 +117,7 @@
 
 
 def change_rule(context, name):
-    """Give a rule a new version with the same content."""
+    """Apply a new version of a rule with the same content."""
     statuses = []
     row = dict(context.deployment.rules[name], version=context.deployment.next_version())
     context.deployment.set_rules([row], callback=statuses.append)
@@ -143,27 +145,29 @@
     assert not any(digest in json.dumps(documents) for digest in digests), documents
 
 
-@behave.given('operators at work while the core fails, seed {seed:d}')
-def operators_work_while_core_fails(context, seed: int):
+@behave.given('concurrent operators while control nodes fail, seed {seed:d}')
+def concurrent_operators_under_failures(context, seed: int):
     context.run = orders_run.Run(seed).run()
 
 
-@behave.then('no version was acknowledged with two contents, no taken order refused, and all is read back')
+@behave.then(
+    'no version was acknowledged with two contents, no accepted change was refused, and all of them are read back'
+)
 def run_has_no_violations(context):
     assert context.run.violations == [], context.run.violations
 
 
-@behave.then('there were refusals by 409, and {most:d} or more orders at once')
+@behave.then('there were refusals by 409, and {most:d} or more concurrent changes')
 def run_has_refusals_and_overlap(context, most: int):
     statuses = [answer.status for order in context.run.orders for answer in order.answers]
     assert 409 in statuses and 200 in statuses, statuses
     assert context.run.most_under_way >= most, context.run.most_under_way
 
 
-@behave.then('digests were forgotten, and all that went wrong is that overtaken versions were free again')
-def run_violates_only_forgotten_digests(context):
+@behave.then('digests were discarded, and the only violations are that superseded versions could be used again')
+def run_violates_only_discarded_digests(context):
     leader = context.run.world.leader().machine
     assert leader.replica.get(version_contents.TABLE, version_contents.COMPLETE) is False
-    forgotten = ('contents were acknowledged', 'was refused for its number, and acknowledged')
-    others = [text for text in context.run.violations if not text.endswith(forgotten)]
+    expected = ('contents were acknowledged', 'was refused for its number, and acknowledged')
+    others = [text for text in context.run.violations if not text.endswith(expected)]
     assert not others, others
--- a/features/support/item_store.py
+++ b/features/support/item_store.py
@@ -1,8 +1,8 @@
-"""The replicated state of configuration items, with its files, and changes written as short texts.
+"""The replicated state of configuration items, with its files, and changes in a short notation.
 
 A change is written `NAME:VERSION=LETTER>POOL` for a rule, `NAME:VERSION=LETTER`
 for a pool or the limits, and `NAME:VERSION-` for what is dropped; several are
-joined by ` + `. The letter stands for the content.
+joined by ` + `. The letter determines the content.
 """
 
 import collections.abc
@@ -17,14 +17,14 @@
 import zinctrail.runtime.durations as durations
 
 TERM = 1
-# The part of the configuration that a name's first letter stands for.
+# The part of the configuration that an item belongs to, by the first letter of its name.
 PARTS = {'r': 'rules', 'p': 'pools', 'q': 'pools', 'l': 'limits'}
 
 Document = dict[str, typing.Any]
 
 
 def rule(name: str, version: int, letter: str, pool: str) -> Document:
-    """A rule whose content is told by a letter."""
+    """Return a rule whose content is determined by a letter."""
     return {
         'name': name,
         'version': version,
@@ -37,7 +37,7 @@
 
 
 def parse_change(text: str) -> Document:
-    """The document of a change that is written as a short text."""
+    """Return the document of a change in the short notation."""
     sets: Document = {'rules': [], 'pools': []}
     drops: Document = {'rules': [], 'pools': []}
     for word in text.split(' + '):
@@ -57,12 +57,12 @@
     return {'set': sets, 'drop': drops}
 
 
-# What a step in a transaction returns.
+# The result of a step in a transaction.
 Result = collections.abc.Mapping[str, typing.Any]
 
 
 class ItemStore:
-    """The replicated state of items, its files, and changes made in it."""
+    """Holds the replicated state of items and its files; applies changes to it."""
 
     def __init__(self):
         self.replica = replica.Replica()
@@ -72,7 +72,7 @@
         }
 
     def run(self, step: collections.abc.Callable[[transactions.Transaction], Result]) -> Result:
-        """Run a step in a transaction and commit what it changes; its result."""
+        """Run a step in a transaction and commit the changed rows; return its result."""
         version = (TERM, self.replica.accepted[1] + 1)
         transaction = transactions.Transaction(self.replica, version, durations.ZERO)
         result = transaction.run(step)
@@ -85,11 +85,11 @@
         return result
 
     def change(self, text: str) -> Result:
-        """Ask for a change; its result."""
+        """Apply a change in the short notation; return its result."""
         return self.run(lambda transaction: configuration_items.apply(transaction, parse_change(text)))
 
     def begin_epoch(self) -> None:
-        """Let an epoch pass."""
+        """Begin the next epoch, and trim the digests."""
 
         def step(transaction: transactions.Transaction) -> Document:
             transaction.put('meta', 'epoch', (transaction.get('meta', 'epoch') or 0) + 1)
@@ -99,45 +99,45 @@
         self.run(step)
 
     def apply_event(self, text: str) -> None:
-        """Let one of EVENTS happen, or make a change that must be taken."""
+        """Run one of EVENTS, or apply a change that must be accepted."""
         if text in EVENTS:
             EVENTS[text](self)
         else:
             assert self.change(text)['status'] == 200, text
 
     def write_snapshot(self) -> None:
-        """Write a snapshot in place of the versions."""
+        """Replace the files of versions by a snapshot."""
         version = self.replica.accepted
         document = {'term': version[0], 'gen': version[1], 'tables': self.replica.full_state()}
         self.files = {name: text for name, text in self.files.items() if not name.startswith('gen-')}
         self.files[storage.snapshot_name(version)] = storage.encode(document)
 
     def restart(self) -> None:
-        """Load the state from its files."""
+        """Load the state from the files."""
         self.replica = storage.load(self.files).replica
         self.replica.commit(self.replica.accepted)
 
     def transfer(self) -> None:
-        """Send everything to a newcomer, which goes on in our place."""
+        """Send the full state to a new node, which replaces this one."""
         tables = json.loads(json.dumps(self.replica.full_state()))
-        newcomer = replica.Replica()
-        newcomer.accept(self.replica.accepted, tables=tables)
-        newcomer.commit(self.replica.accepted)
-        self.replica = newcomer
+        new_replica = replica.Replica()
+        new_replica.accept(self.replica.accepted, tables=tables)
+        new_replica.commit(self.replica.accepted)
+        self.replica = new_replica
         self.write_snapshot()
 
     def restart_from_earlier_release(self) -> None:
-        """Load files as the release before wrote them: items, and nothing else that is known of them."""
+        """Load files as the previous release wrote them: items without the digests of their versions."""
         self.replica.tables.pop(version_contents.TABLE)
         self.write_snapshot()
         self.restart()
 
     def item(self, key: str) -> Document:
-        """The row of an item."""
+        """Return the row of an item."""
         return self.replica.get('items', key)
 
     def read(self) -> Document:
-        """All items, as an operator reads them."""
+        """Return all items, as an operator reads them."""
         view = transactions.View(self.replica, self.replica.committed, durations.ZERO)
         return configuration_items.read(view)
 
--- a/features/support/open_core.py
+++ b/features/support/open_core.py
@@ -1,4 +1,4 @@
-"""A small simulated deployment of open traffic, and its conditions."""
+"""A small simulated deployment of open traffic that runs until a condition holds."""
 
 import collections.abc
 
@@ -8,7 +8,7 @@
 import zinctrail.simulation.open_actors.world as open_world
 
 SEED = 5
-# How long a condition may take to come about.
+# How long a condition may take to hold.
 MAX_WAIT = durations.ms(20000)
 
 
@@ -22,5 +22,5 @@
 
 
 def run_until(context, condition: collections.abc.Callable[[], bool]) -> None:
-    """Let time go on until a condition holds."""
-    assert context.world.run(MAX_WAIT, condition), 'did not come about'
+    """Run the simulation until a condition holds."""
+    assert context.world.run(MAX_WAIT, condition), 'the condition did not hold in time'
