--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps of policy.feature: a pool's policy, a Lua function that chooses among endpoints."""
+"""Steps of policy.feature: a pool's policy, a Lua function that selects an endpoint."""
 
 import behave
 
@@ -8,7 +8,7 @@
 PREFERS_REGION_R2 = (
     'function choose(r, e) for i, x in ipairs(e) do if x.region == "r2" then return i end end return 1 end'
 )
-# Passes the sample of the configuration's check, whose request has this id, and fails on every real request.
+# Succeeds on the sample request of the configuration check, which has this id, and fails on every real request.
 FAILS_ON_REAL_REQUESTS = 'function choose(r, e) if r.id == "1.a" then return 1 end return nil end'
 
 
@@ -17,7 +17,7 @@
     context.faults = configuration.check({'pools': {'p': {'service': 's', 'policy': policy}}})
 
 
-@behave.then('the configuration is taken')
+@behave.then('the configuration is accepted')
 def configuration_accepted(context):
     assert context.faults == [], context.faults
 
@@ -29,7 +29,7 @@
 
 
 def put_policy(context, source):
-    """Give the pool catalog a policy; `before` and `since` are the times around it."""
+    """Set the policy of pool catalog; `context.before` and `context.since` are the times before and after."""
     context.before = context.world.now
     statuses = []
     context.deployment.operator.change(
@@ -49,26 +49,26 @@
 
 
 def runs_in_r2(context, since, until):
-    """(requests to catalog executed in a time, the share of them in r2)"""
+    """Return (requests to catalog that were executed in a period, the share of them in r2)."""
     runs = [run for run in context.deployment.notes.runs if since < run.at <= until and run.service == 'catalog']
     return len(runs), sum(run.cell == 'r2/c0' for run in runs) / len(runs)
 
 
-@behave.then("of catalog's further requests at least half as many again run in r2 as before")
+@behave.then("the share of catalog's requests that run in r2 is at least 1.5 times what it was")
 def share_of_region_grew(context):
     context.world.run(durations.ms(15000))
     _, share_before = runs_in_r2(context, durations.ms(0), context.before)
     count, share = runs_in_r2(context, context.since, context.world.now)
-    # Not all of them, because a policy chooses only among the endpoints at which a proxy holds credit.
+    # Not all requests run in r2, because a policy chooses only among the endpoints at which a proxy holds credit.
     assert count > 100 and share >= 1.5 * share_before, (count, share_before, share)
 
 
-@behave.when('the pool catalog gets a policy that fails when it meets a request')
+@behave.when('the pool catalog gets a policy that fails on each request')
 def put_failing_policy(context):
     put_policy(context, FAILS_ON_REAL_REQUESTS)
 
 
-@behave.then('requests run on by the built-in choice, and the fault is logged')
+@behave.then('requests run on with the built-in choice, and the error is logged')
 def built_in_choice_is_used(context):
     context.world.run(durations.ms(5000))
     runs = [run for run in context.deployment.notes.runs if run.at > context.since and run.service == 'catalog']
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -1,4 +1,4 @@
-"""Steps of repeated_orders.feature: orders that come again after many others."""
+"""Steps of repeated_orders.feature: operations that are retried after many others."""
 
 import behave
 
@@ -17,7 +17,7 @@
 
 
 def serve_batch(leader: operation_cases.OperationLeader, operation: str, all_arguments: list[dict]) -> list[dict]:
-    """The results of operations that come at the same moment."""
+    """Serve operations that arrive at the same moment; return their results."""
     results: list[dict] = []
     for arguments in all_arguments:
         leader.node.machine.serve(operation, arguments, results.append)
@@ -31,7 +31,7 @@
 
 
 def put_arguments(context, value: str) -> dict:
-    """A put of a value, with or without the revision that the first one named."""
+    """Return the arguments of a put, with the revision that the first put named if it is conditional."""
     arguments = {'name': KEY, 'value': value}
     return {**arguments, 'rev': context.base} if context.is_conditional else arguments
 
@@ -55,27 +55,27 @@
         assert all(result['status'] == 200 for result in results), results
 
 
-@behave.when('callers make {count:d} other puts on its key and as many on others of its group, in turn')
+@behave.when('callers make {count:d} other puts on its key and as many on other keys of its group, in turn')
 def puts_in_turn(context, count: int):
     for number in range(count):
         names = (f'{GROUP}{number % 7}', KEY)
         serve_batch(context.leader, 'cell.put', [{'name': name, 'value': f'{name}/{number}'} for name in names])
 
 
-@behave.when('the node leads anew, and knows only the replicated state')
-def leads_anew(context):
+@behave.when('the node leads again, and knows only the replicated state')
+def node_leads_again(context):
     context.leader.node.lead_anew()
 
 
-@behave.then('the put gets the revision that it got first, and nothing is written')
-def put_comes_again(context):
+@behave.then('the retried put gets its first revision, and nothing is written')
+def put_is_retried(context):
     before = context.leader.operate('cell.get', name=KEY)
     again = context.leader.operate('cell.put', **put_arguments(context, 'A.1'))
     assert again == context.first, (context.first, again)
     assert context.leader.operate('cell.get', name=KEY) == before
 
 
-@behave.then('a put of a value that nobody wrote, at {condition} revision, is refused or written as it says')
+@behave.then('a put of a new value, at {condition} revision, is refused or written accordingly')
 def new_put(context, condition: str):
     before = context.leader.operate('cell.get', name=KEY)
     result = context.leader.operate('cell.put', **put_arguments(context, 'new'))
@@ -85,14 +85,14 @@
         assert (result['status'], result['rev']) == (200, before['rev'] + 1), (before, result)
 
 
-@behave.when("the history's time goes by twice")
-def history_time_goes_by(context):
+@behave.when('twice the retention time of the history passes')
+def history_expires(context):
     bounds = context.leader.node.machine.settings
     context.leader.node.run(2 * bounds.epochs_kept * durations.to_ms(bounds.epoch))
 
 
-@behave.then('of the puts only the last values of the key are left')
-def memory_is_bounded(context):
+@behave.then('of the puts only the last values of the key are retained')
+def only_last_values_are_retained(context):
     replica = context.leader.node.machine.replica
     assert replica.get(registers.CHANGES_TABLE) == {}, len(replica.get(registers.CHANGES_TABLE))
     row = replica.get(registers.TABLE, KEY)
@@ -102,73 +102,73 @@
 # -- evacuations --------------------------------------------------------------------------
 
 
-def order(context, order_id: str, is_evacuation: bool) -> dict:
-    """The result of an order on the zone that is based on its present number."""
+def send_command(context, command_id: str, is_evacuation: bool) -> dict:
+    """Send a command on the zone, based on its current number; return the result."""
     number = context.leader.operate('cell.order', cell=ZONE)['number']
-    return context.leader.operate('cell.empty', cell=ZONE, on=is_evacuation, id=order_id, number=number)
+    return context.leader.operate('cell.empty', cell=ZONE, on=is_evacuation, id=command_id, number=number)
 
 
-def is_emptied(context) -> bool:
-    """Whether the zone is emptied."""
+def is_evacuated(context) -> bool:
+    """True if the zone is evacuated."""
     return bool((context.leader.node.machine.replica.get(evacuations.ZONES_TABLE, ZONE) or {}).get('emptied'))
 
 
-@behave.given('a control node that leads, and an order that empties a zone')
-def first_order(context):
+@behave.given('a control node that leads, and a command that evacuates a zone')
+def first_command(context):
     context.leader = operation_cases.OperationLeader()
     context.number = context.leader.operate('cell.order', cell=ZONE)['number']
-    assert order(context, 'first', True)['status'] == 200 and is_emptied(context)
+    assert send_command(context, 'first', True)['status'] == 200 and is_evacuated(context)
 
 
-def zone_orders(first: int, count: int) -> list[dict]:
-    """Orders of earlier releases, which name no number: they empty a zone and take that back, in turn."""
+def zone_commands(first: int, count: int) -> list[dict]:
+    """Return commands that evacuate the zone and withdraw that, in turn; each is based on the number of the one before."""
     return [
         {'cell': ZONE, 'on': number % 2 == 1, 'id': f'other.{number}', 'number': 1 + number}
         for number in range(first, first + count)
     ]
 
 
-@behave.when('{count:d} other orders on the zone are acknowledged, the last of which takes that back')
-def other_orders(context, count: int):
+@behave.when('{count:d} other commands on the zone are acknowledged, the last of which withdraws the evacuation')
+def other_commands(context, count: int):
     base = context.leader.operate('cell.order', cell=ZONE)['number']
     assert base == 1, base
     for first in range(0, count, PUTS_PER_BATCH):
-        batch = zone_orders(first, min(PUTS_PER_BATCH, count - first))
+        batch = zone_commands(first, min(PUTS_PER_BATCH, count - first))
         results = serve_batch(context.leader, 'cell.empty', batch)
         assert all(result['status'] == 200 for result in results), results
-    assert not is_emptied(context)
+    assert not is_evacuated(context)
 
 
-@behave.then('the order is acknowledged once more, and the zone stays as it is')
-def order_comes_again(context):
+@behave.then('the retried command is acknowledged, and the zone stays as it is')
+def command_is_retried(context):
     again = context.leader.operate('cell.empty', cell=ZONE, on=True, id='first', number=context.number)
     assert again['status'] == 200, again
-    assert not is_emptied(context)
+    assert not is_evacuated(context)
 
 
-@behave.when('orders on the zone come without a pause until one is refused')
-def orders_until_refused(context):
+@behave.when('commands on the zone arrive without a pause until one is refused')
+def commands_arrive_until_refused(context):
     most = 2 * evacuations.MAX_COMMAND_IDS
     for first in range(0, most, STEPS_PER_BATCH):
-        results = serve_batch(context.leader, 'cell.empty', zone_orders(first, STEPS_PER_BATCH))
+        results = serve_batch(context.leader, 'cell.empty', zone_commands(first, STEPS_PER_BATCH))
         context.refused = [result for result in results if result['status'] != 200]
         if context.refused:
             return
-    raise AssertionError(f'{most} orders were all taken')
+    raise AssertionError(f'{most} commands were all accepted')
 
 
 @behave.then('it was refused with 503 and did nothing')
-def order_refused(context):
-    # Those behind it name numbers that it did not bring about.
+def command_was_refused(context):
+    # The commands after it are based on numbers that were never reached, because this one was refused.
     assert context.refused[0]['status'] == 503, context.refused[:3]
     row = context.leader.node.machine.replica.get(evacuations.TABLE, ZONE)
     assert row['number'] == evacuations.MAX_COMMAND_IDS, row['number']
 
 
-@behave.then('once the time of two epochs has gone by, an order is taken, and few are remembered')
-def order_taken_later(context):
+@behave.then('after two epochs a command is accepted, and few are retained')
+def command_is_accepted_later(context):
     context.leader.node.run(2 * durations.to_ms(context.leader.node.machine.settings.epoch) + BATCH_MS)
-    assert order(context, 'later', True)['status'] == 200
+    assert send_command(context, 'later', True)['status'] == 200
     row = context.leader.node.machine.replica.get(evacuations.TABLE, ZONE)
     assert len(row['ids']) + len(row.get('past', ())) <= 2, row
 
@@ -177,7 +177,7 @@
 
 
 def request_steps(context, keys: list[str]) -> dict[str, dict]:
-    """The results by key of steps of the number that b requests at the same moment."""
+    """Let b request steps of the number at the same moment; return their results by key."""
     node = context.leader.node
     before = len(node.sent('ask_re'))
     for key in keys:
@@ -201,14 +201,14 @@
     assert count // STEPS_PER_BATCH * BATCH_MS <= 2000
 
 
-@behave.then('a copy of the first request gets the number that it got first')
-def step_comes_again(context):
+@behave.then('a copy of the first request gets the same number')
+def step_is_retried(context):
     again = request_steps(context, ['k.first'])['k.first']
     assert again == context.first, (context.first, again)
 
 
 @behave.given('a control node that leads, with room for {count:d} results')
-def little_room(context, count: int):
+def leader_with_few_results(context, count: int):
     context.add_cleanup(setattr, operations, 'MAX_RESULTS', operations.MAX_RESULTS)
     context.leader = operation_cases.OperationLeader()
     operations.MAX_RESULTS = count
@@ -221,8 +221,8 @@
     assert len(context.results) == count, len(context.results)
 
 
-@behave.then('{count:d} of them are carried out, and the others are refused and never are')
-def some_are_refused(context, count: int):
+@behave.then('{count:d} of them are carried out, and the others are refused and never carried out')
+def excess_steps_are_refused(context, count: int):
     done = {key for key, result in context.results.items() if result['status'] == 200}
     assert len(done) == count, len(done)
     refused = {key: result for key, result in context.results.items() if key not in done}
@@ -230,8 +230,8 @@
     assert context.leader.node.machine.replica.get('numbers', NUMBER) == count
 
 
-@behave.then('once the time of a result has gone by, steps are carried out again')
-def steps_later(context):
+@behave.then('after the retention time of a result, steps are carried out again')
+def steps_are_carried_out_later(context):
     context.leader.node.run(durations.to_ms(operations.RESULT_RETENTION) + BATCH_MS)
     assert request_steps(context, ['k.later'])['k.later']['status'] == 200
     assert len(context.leader.node.machine.operation_service.results) == 1
