--- a/features/ill.feature
+++ b/features/ill.feature
@@ -1,6 +1,6 @@
 Feature: A real fleet whose clocks jump, links are cut and processes freeze
-  Cuts and clocks by the fleet's own test means (zinctrail.fleet.processes.wrapped_process), freezes
-  by signals. Verdicts wait on events, not on time.
+  The fleet's test hooks (zinctrail.fleet.processes.wrapped_process) cut links and move clocks, signals
+  freeze processes. The checks wait for events, not for a time.
 
   Scenario: Clocks, freezes and cuts
     Given a small fleet under load that can be made ill
--- a/features/never_items.feature
+++ b/features/never_items.feature
@@ -1,5 +1,6 @@
 Feature: What must never happen to open traffic, does not: configuration and coordination
-  As never_open.feature: a day of troubles, whole and with a guard off.
+  As in never_open.feature, each row runs a scenario with faults, with all
+  guards on and with one switched off.
 
   Scenario Outline: <checker>: held by <guard>
     Given open days of <faults> under seeds <seeds>
--- a/features/never_open.feature
+++ b/features/never_open.feature
@@ -1,7 +1,8 @@
 Feature: What must never happen to open traffic, does not: requests and endpoints
-  Every checker reads only what clients, endpoints and operators saw. Each row
-  runs a day of troubles: with the system whole the checker finds nothing; with
-  the named guard switched off, the same day makes it speak.
+  Every checker uses only what clients, endpoints and operators observed. Each
+  row runs a scenario with faults: with all guards on the checker finds nothing;
+  with the named guard switched off, the same scenario makes it find a
+  violation.
 
   Scenario Outline: <checker>: held by <guard>
     Given open days of <faults> under seeds <seeds>
--- a/features/never_routes.feature
+++ b/features/never_routes.feature
@@ -1,7 +1,8 @@
 Feature: What must never happen, does not: configuration and endpoints
-  Every checker reads only what callers, endpoints, operators and applications
-  saw. Each row runs a day of faults: with the system whole the checker finds
-  nothing; with the named guard switched off, the same day makes it speak.
+  Every checker uses only what callers, endpoints, operators and applications
+  observed. Each row runs a scenario with faults: with all guards on the checker
+  finds nothing; with the named guard switched off, the same scenario makes it
+  find a violation.
 
   Scenario Outline: <checker>: held by <guard>
     Given days of <faults> under seeds <seeds>
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -1,7 +1,7 @@
-"""Days of open traffic: what its checkers must see once a guard is off; kept seeds.
+"""Scenarios of open traffic: what the checkers must find once a guard is off, and seeds that once found a fault.
 
-The steps that judge ("checker ... finds nothing", "with guard ... off") are
-those of days_steps.py.
+The steps that run the checkers ("checker ... finds nothing", "with guard ... off")
+are in days_steps.py.
 """
 
 import unittest.mock as mock
@@ -32,172 +32,171 @@
 
 
 def run_scenario(names, seed, checker):
-    """Play one day of open traffic whose clocks drift, with applications where the checker needs them."""
+    """Run a scenario of open traffic whose clocks drift, with applications where the checker needs them."""
     return open_days.Scenario(seed, names, length=ms(12000), coord=checker in NEEDS_APPS, drift=0.02).run()
 
 
 # -- guards, each switched off as narrowly as may be -----------------------
 
 
-def off(obj, name, new):
-    """Replace an attribute for as long as a guard is off."""
-    return [mock.patch.object(obj, name, new)]
+def replaced(owner, name, replacement):
+    """Return the patches that replace an attribute while a guard is off."""
+    return [mock.patch.object(owner, name, replacement)]
 
 
-def repeatable(original=open_pipeline.match_route):
-    """Whatever a rule says, a request may be sent again after it may have run."""
+def repeat_always(original=open_pipeline.match_route):
+    """Let a request be sent again after it may have run, whatever its rule says."""
 
     def match(proxy, request):
-        got = original(proxy, request)
+        matched = original(proxy, request)
         request.at_most_once = False
-        return got
+        return matched
 
-    return swap(original, match)
+    return replaced_stage(original, match)
 
 
-def swap(old, new):
-    """Replace one stage of the pipeline."""
-    return off(open_pipeline, 'STAGES', [new if p is old else p for p in open_pipeline.STAGES])
+def replaced_stage(stage, replacement):
+    """Return the patches that replace a stage of the pipeline."""
+    return replaced(open_pipeline, 'STAGES', [replacement if each is stage else each for each in open_pipeline.STAGES])
 
 
-def only_faults(rec, res):
-    """Judge an answer by the connection alone, whosever answer it is."""
-    return res.fault
+def accept_any_response(request, result):
+    """Reject a response for an error of its connection only, not for the id of another request."""
+    return result.fault
 
 
-def no_faults(rec, res):
-    """Take an answer that was cut short for a complete one."""
-    # Taken for whole, though it was cut short.
-    if res.fault == 'reply cut short':
-        res.fault = ''
-    return res.fault
+def accept_cut_short(request, result):
+    """Accept a response that was cut short as a complete one."""
+    if result.fault == 'reply cut short':
+        result.fault = ''
+    return result.fault
 
 
-def not_run_at_all(self, request, refusal, original=open_responses.OpenResponses.respond_refusal):
-    """Promise with every refusal that the request has not run."""
+def refuse_as_not_run(self, request, refusal, original=open_responses.OpenResponses.respond_refusal):
+    """Say with every refusal that the request has not run."""
     original(self, request, refusals.Refusal(503, str(refusal)))
 
 
-def altered(self, request, original=open_upstream.OpenUpstream.send):
-    """Send a request under another id than its own."""
+def send_other_id(self, request, original=open_upstream.OpenUpstream.send):
+    """Send a request with another id than its own."""
     original(self, request)
     self.proxy.out[-1].headers['zt-id'] += 'x'
 
 
-def unnamed(self, request, original=open_upstream.OpenUpstream.send):
-    """Send a request without the incarnation that is meant."""
+def send_without_incarnation(self, request, original=open_upstream.OpenUpstream.send):
+    """Send a request without the incarnation of the endpoint that it is for."""
     original(self, request)
     self.proxy.out[-1].headers.pop('zt-inc')
 
 
-def any_state(self, inc):
-    """Take an endpoint for usable whatever its state."""
-    row = self.endpoint(inc)
+def is_usable_in_any_state(self, incarnation):
+    """Return True for an endpoint in any state, unless its zone is evacuated."""
+    row = self.endpoint(incarnation)
     return row is not None and not self.is_emptied(row['cell'])
 
 
-def any_version(txn, doc, original=configuration_items.apply):
-    """Apply a change of the items whatever its version."""
-    res = original(txn, doc)
-    for key, version, row in configuration_items.to_changes(doc):
-        txn.put('items', key, {'v': version, 'row': row})
-    return res
+def apply_any_version(transaction, document, original=configuration_items.apply):
+    """Apply a change of the items in spite of its versions."""
+    result = original(transaction, document)
+    for key, version, row in configuration_items.to_changes(document):
+        transaction.put('items', key, {'v': version, 'row': row})
+    return result
 
 
-def at_once(self):
-    """End a process that is told to stop, without draining."""
+def exit_at_once(self):
+    """End a process that is asked to stop, without draining."""
     self.out.append(effects.Exit(0))
 
 
-def never_given_up(self, request, until):
-    """Let a request wait in the queue without an end."""
+def queue_without_timeout(self, request, until):
+    """Let a request wait in the queue without a timeout."""
     request.waiting_for = request_record.Waiting.ROOM
 
 
 def no_elections(own_election, original=election.Election.plan):
-    """Stand for no election, so that a lost leader is not replaced."""
-    # Not at first, because the day has to begin.
+    """Start no election, so that a lost leader is not replaced."""
+    # Not during the first 9 s, because the scenario needs a leader to begin.
     if own_election.voter.now < ms(9000):
         original(own_election)
 
 
-def sooner(core, txn, args, original=coordination.OPERATIONS['lock.hold'].function):
-    """Let the leader forget a lock at a quarter of its time."""
-    res = original(core, txn, args)
-    core.lock_expiry.deadlines[args['name']] = txn.now + ms(args['lease_ms'] / 4)
-    return res
+def expire_sooner(core, transaction, arguments, original=coordination.OPERATIONS['lock.hold'].function):
+    """Let the leader expire a lock after a quarter of its lease."""
+    result = original(core, transaction, arguments)
+    core.lock_expiry.deadlines[arguments['name']] = transaction.now + ms(arguments['lease_ms'] / 4)
+    return result
 
 
-def put_anew(core, txn, args, original=coordination.OPERATIONS['cell.put'].function):
-    """Put a value anew before each put, so that its past is lost."""
-    row = txn.get('values', args['name'])
+def lose_past_values(core, transaction, arguments, original=coordination.OPERATIONS['cell.put'].function):
+    """Discard the past values of a register before each put."""
+    row = transaction.get('values', arguments['name'])
     if row:
-        txn.put('values', args['name'], dict(row, past=[], value=row['value'] + ' '))
-    return original(core, txn, args)
+        transaction.put('values', arguments['name'], dict(row, past=[], value=row['value'] + ' '))
+    return original(core, transaction, arguments)
 
 
-def any_revision(core, txn, args, original=coordination.OPERATIONS['cell.put'].function):
-    """Put whatever revision the caller expects."""
-    return original(core, txn, {k: v for k, v in args.items() if k != 'rev'})
+def put_at_any_revision(core, transaction, arguments, original=coordination.OPERATIONS['cell.put'].function):
+    """Put a value in spite of the revision that the caller expects."""
+    return original(core, transaction, {name: value for name, value in arguments.items() if name != 'rev'})
 
 
-def skipping(core, txn, args, original=coordination.OPERATIONS['cell.watch'].function):
-    """Leave out the first event of a watch."""
-    res = original(core, txn, args)
-    return dict(res, events=res['events'][1:])
+def skip_first_event(core, transaction, arguments, original=coordination.OPERATIONS['cell.watch'].function):
+    """Leave out the first event of a watch's response."""
+    result = original(core, transaction, arguments)
+    return dict(result, events=result['events'][1:])
 
 
-def forget_soon(txn, epoch, kept, original=retention.drop_expired):
-    """Keep the history of one epoch alone."""
-    original(txn, epoch, 1)
+def forget_soon(transaction, epoch, kept, original=retention.drop_expired):
+    """Retain the history of only one epoch."""
+    original(transaction, epoch, 1)
 
 
-def op(name, fn):
-    """Replace the function of one coordination operation."""
-    return [mock.patch.dict(coordination.OPERATIONS, {name: coordination.OPERATIONS[name]._replace(function=fn)})]
+def replaced_operation(name, function):
+    """Return the patches that replace the function of a coordination operation."""
+    return [mock.patch.dict(coordination.OPERATIONS, {name: coordination.OPERATIONS[name]._replace(function=function)})]
 
 
 GUARDS = {
-    'at most once': repeatable,
-    'unknown outcomes': lambda: off(open_responses.OpenResponses, 'respond_refusal', not_run_at_all),
-    'whose answer it is': lambda: off(open_responses, 'response_error', only_faults),
-    'whole answers': lambda: off(open_responses, 'response_error', no_faults),
-    'the id as it came': lambda: off(open_upstream.OpenUpstream, 'send', altered),
+    'at most once': repeat_always,
+    'unknown outcomes': lambda: replaced(open_responses.OpenResponses, 'respond_refusal', refuse_as_not_run),
+    'whose answer it is': lambda: replaced(open_responses, 'response_error', accept_any_response),
+    'whole answers': lambda: replaced(open_responses, 'response_error', accept_cut_short),
+    'the id as it came': lambda: replaced(open_upstream.OpenUpstream, 'send', send_other_id),
     # Backing off as well, because an endpoint that refuses connections is avoided for longer than an address takes to
     # be reused.
     'naming the incarnation': lambda: (
-        off(open_upstream.OpenUpstream, 'send', unnamed)
-        + off(open_upstream.OpenUpstream, 'back_off_endpoint', lambda self, incarnation: None)
+        replaced(open_upstream.OpenUpstream, 'send', send_without_incarnation)
+        + replaced(open_upstream.OpenUpstream, 'back_off_endpoint', lambda self, incarnation: None)
     ),
     'publishing to proxies': lambda: (
-        off(proxy_node.Proxy, 'applied', lambda self, rows: None)
-        + off(routing_table.RoutingTable, 'invalidate', lambda self: None)
+        replaced(proxy_node.Proxy, 'applied', lambda self, rows: None)
+        + replaced(routing_table.RoutingTable, 'invalidate', lambda self: None)
     ),
-    'versions': lambda: off(configuration_items, 'apply', any_version),
-    'checking items': lambda: off(configuration_items, 'check', lambda doc, pools=None: []),
-    'syncing': lambda: off(simulated_disk.Disk, 'syncs', False),
-    'elections': lambda: off(election.Election, 'plan', no_elections),
-    'drain marks': lambda: off(routing_table.RoutingTable, 'is_usable', any_state),
-    'finishing before the end': lambda: off(proxy_node.Proxy, 'timer_drain', at_once),
-    'cancelling': lambda: off(open_upstream.OpenUpstream, 'cancel', lambda self, request: None),
-    'homes of lookups': lambda: off(routing_table.RoutingTable, 'homes_of_host', lambda self, host: frozenset()),
-    'patience': lambda: off(open_queue.OpenQueue, 'add', never_given_up),
-    'the repeat bound': lambda: off(retry_budget.RetryBudget, 'allows', lambda self, now, proxies: True),
-    'turns at the cold': lambda: off(slow_start.SlowStart, 'is_throttled', lambda self, incarnation, row: False),
-    'home': lambda: off(routing_table.RoutingTable, 'region_of', lambda self, cell: 'r0'),
-    'contents of versions': lambda: off(configuration_items, '_may_acknowledge', lambda *args: True),
-    'emptied cells': lambda: off(routing_table.RoutingTable, 'is_emptied', lambda self, cell: False),
-    'lock terms': lambda: op('lock.hold', sooner),
-    'values known again': lambda: op('cell.put', put_anew),
-    'concerns': lambda: op('cell.put', any_revision),
-    'whole watches': lambda: op('cell.watch', skipping),
-    'history': lambda: off(retention, 'drop_expired', forget_soon),
+    'versions': lambda: replaced(configuration_items, 'apply', apply_any_version),
+    'checking items': lambda: replaced(configuration_items, 'check', lambda document, pools=None: []),
+    'syncing': lambda: replaced(simulated_disk.Disk, 'syncs', False),
+    'elections': lambda: replaced(election.Election, 'plan', no_elections),
+    'drain marks': lambda: replaced(routing_table.RoutingTable, 'is_usable', is_usable_in_any_state),
+    'finishing before the end': lambda: replaced(proxy_node.Proxy, 'timer_drain', exit_at_once),
+    'cancelling': lambda: replaced(open_upstream.OpenUpstream, 'cancel', lambda self, request: None),
+    'homes of lookups': lambda: replaced(routing_table.RoutingTable, 'homes_of_host', lambda self, host: frozenset()),
+    'patience': lambda: replaced(open_queue.OpenQueue, 'add', queue_without_timeout),
+    'the repeat bound': lambda: replaced(retry_budget.RetryBudget, 'allows', lambda self, now, proxies: True),
+    'turns at the cold': lambda: replaced(slow_start.SlowStart, 'is_throttled', lambda self, incarnation, row: False),
+    'home': lambda: replaced(routing_table.RoutingTable, 'region_of', lambda self, cell: 'r0'),
+    'contents of versions': lambda: replaced(configuration_items, '_may_acknowledge', lambda *arguments: True),
+    'emptied cells': lambda: replaced(routing_table.RoutingTable, 'is_emptied', lambda self, cell: False),
+    'lock terms': lambda: replaced_operation('lock.hold', expire_sooner),
+    'values known again': lambda: replaced_operation('cell.put', lose_past_values),
+    'concerns': lambda: replaced_operation('cell.put', put_at_any_revision),
+    'whole watches': lambda: replaced_operation('cell.watch', skip_first_event),
+    'history': lambda: replaced(retention, 'drop_expired', forget_soon),
 }
 
 
 @behave.given('open days of {names} under seeds {seeds}')
 def open_days_under_seeds(context, names, seeds):
-    context.names, context.seeds = names.split(','), [int(s) for s in seeds.split(',')]
+    context.names, context.seeds = names.split(','), [int(seed) for seed in seeds.split(',')]
     context.make, context.guards = run_scenario, GUARDS
 
 
