--- a/features/client_disconnects.feature
+++ b/features/client_disconnects.feature
@@ -82,7 +82,7 @@
     Then nothing of it is answered
 
   Scenario Outline: A cancelled request ends its connection, and says nothing against its endpoint: <when>
-    Given an endpoint that answers with a whole answer, but first as far as <part>
+    Given an endpoint that responds with a full response, but first as far as <part>
     When a request to it is cancelled <when>
     Then the connection is closed, and nothing broke
     And the next request is answered over another connection
@@ -94,6 +94,6 @@
       | a part of its body   | once a part of the answer has come  |
 
   Scenario: A request that is cancelled once its answer is complete changes nothing
-    Given an endpoint that answers with a whole answer
+    Given an endpoint that responds with a full response
     When a request is sent, and cancelled after its answer
     Then it goes over the same connection
--- a/features/steps/client_disconnect_steps.py
+++ b/features/steps/client_disconnect_steps.py
@@ -276,7 +276,7 @@
 PARTS = {'nothing of it': b'', 'a part of its head': HEAD[:20], 'a part of its body': HEAD + BODY[:2]}
 
 
-@behave.given('an endpoint that answers with a whole answer, but first as far as {part}')
+@behave.given('an endpoint that responds with a full response, but first as far as {part}')
 def endpoint_answers_in_part(context, part: str):
     context.heads, context.ended, context.errors = [], [], []
     context.is_cancelled = False
--- a/features/steps/open_choice_steps.py
+++ b/features/steps/open_choice_steps.py
@@ -9,7 +9,7 @@
 
 ms = durations.ms
 SECOND = ms(1000)
-# How long requests of the cold endpoints' proxies may take; those that wait longer are refused.
+# The time that a request to cold endpoints has left; one that waits longer is refused.
 COLD_LEFT_MS = 300
 FAST_MS = 60
 
@@ -21,8 +21,8 @@
     context.proxy = open_traffic_proxy.OpenTrafficProxy(count, pool={'connections': most}, proxies=proxies)
 
 
-@behave.when('{count:d} requests come at once')
-def requests_come_at_once(context, count: int):
+@behave.when('{count:d} requests arrive at once')
+def requests_arrive_at_once(context, count: int):
     context.request_ids = [context.proxy.request() for _ in range(count)]
 
 
@@ -35,7 +35,7 @@
 # -- cold endpoints -------------------------------------------------------------
 
 
-@behave.given('{count:d} proxies and {ends:d} cold endpoints that bear {rate:g} requests a second each')
+@behave.given('{count:d} proxies and {ends:d} cold endpoints with a capacity of {rate:g} requests a second each')
 def proxies_with_cold_endpoints(context, count: int, ends: int, rate: float):
     context.cold_rate = rate
     pool = {'cold_per_s': rate, 'connections': 5000}
@@ -45,8 +45,8 @@
     ]
 
 
-def answer_all(proxy):
-    """Answer what was sent on, and what is sent on then: work that never ends would keep other requests away."""
+def respond_to_all(proxy):
+    """Respond to all sent requests, and to those sent then: requests in progress would keep others in the queue."""
     while proxy.fetches():
         fetches, proxy.effects = proxy.fetches(), []
         for fetch in fetches:
@@ -54,7 +54,7 @@
 
 
 def lose_a_third(proxies):
-    """Each third proxy is lost, in one version as with a zone, and gets no more requests."""
+    """Remove each third proxy, all in one version as when a zone is lost; they get no more requests."""
     lost = range(0, len(proxies), 3)
     for proxy in proxies:
         proxy.put_rows([['members', f'm{index}', None] for index in lost])
@@ -71,17 +71,17 @@
             proxy.run(gap_ms * rng.random() * 2)
             proxy.now = max(proxy.now, open_traffic_proxy.START + ms(gap_ms * step))
             proxy.request(left=COLD_LEFT_MS)
-            answer_all(proxy)
+            respond_to_all(proxy)
         if step == seconds * rate // 2 and change.startswith('a third'):
             lose_a_third(context.proxies)
 
 
 def most_in_a_second(times) -> int:
-    """The most of the times that fall within one second."""
+    """Return how many of the times, at most, fall within one second."""
     return max(sum(1 for time in times if start <= time < start + SECOND) for start in times)
 
 
-@behave.then('in no second any of them is sent more than {times:g} times that and {slack:d}')
+@behave.then('in no second is any of them sent more than {times:g} times its capacity plus {slack:d}')
 def sent_at_most(context, times: float, slack: int):
     context.times_by_endpoint = {}
     for proxy in context.proxies:
@@ -91,7 +91,7 @@
     assert most <= times * context.cold_rate + slack, most
 
 
-@behave.then('each is sent at least {share:g} of what it bears over the whole time')
+@behave.then('each is sent at least {share:g} of its capacity over the whole time')
 def sent_at_least(context, share: float):
     for incarnation, times in context.times_by_endpoint.items():
         seconds = (max(times) - open_traffic_proxy.START) / SECOND
@@ -101,8 +101,8 @@
 # -- endpoints that fail or are slow ----------------------------------------------
 
 
-@behave.when('endpoint e0 cuts its answers off')
-def endpoint_cuts_answers_off(context):
+@behave.when('endpoint e0 truncates its responses')
+def endpoint_truncates_responses(context):
     proxy = context.proxy
     for _ in range(30):
         # Several at once, because single ones would all go to the other endpoint after the first failure.
@@ -116,43 +116,43 @@
 
 
 def endpoints_sent_to(proxy) -> list[str]:
-    """The endpoint of each request that was sent on."""
+    """Return the endpoint of each request that was sent."""
     return [incarnation for _, incarnation in proxy.sent]
 
 
-@behave.then('after a while only {incarnation} is sent to')
-def only_one_is_sent_to(context, incarnation: str):
+@behave.then('after a while only {incarnation} gets requests')
+def only_one_gets_requests(context, incarnation: str):
     for _ in range(4):
         context.proxy.request()
     assert endpoints_sent_to(context.proxy) == [incarnation] * 4, context.proxy.sent
 
 
-@behave.when('endpoint e1 is taken away')
+@behave.when('endpoint e1 is removed')
 def endpoint_is_removed(context):
     context.proxy.put_rows([['endpoints', 'e1', None]])
     context.proxy.sent.clear()
     context.proxy.request()
 
 
-@behave.then('e0 is sent to again')
-def failed_one_is_sent_to_again(context):
+@behave.then('e0 gets requests again')
+def failed_one_gets_requests_again(context):
     assert endpoints_sent_to(context.proxy) == ['e0']
 
 
-@behave.when('e0 takes {first_ms:d} ms and e1 takes {second_ms:d} ms, and {count:d} requests come, {gap:d} ms apart')
+@behave.when('e0 takes {first_ms:d} ms and e1 takes {second_ms:d} ms, and {count:d} requests arrive, {gap:d} ms apart')
 def endpoints_differ_in_speed(context, first_ms: int, second_ms: int, count: int, gap: int):
-    proxy, owed = context.proxy, []
+    proxy, pending_replies = context.proxy, []
     latency = {'e0': ms(first_ms), 'e1': ms(second_ms)}
     for _ in range(count):
         proxy.request()
-        owed += [(proxy.now + latency[fetch.incarnation], fetch) for fetch in proxy.fetches()]
+        pending_replies += [(proxy.now + latency[fetch.incarnation], fetch) for fetch in proxy.fetches()]
         proxy.effects.clear()
         until = proxy.now + ms(gap)
-        for time, fetch in sorted(owed, key=lambda pending: pending[0]):
+        for time, fetch in sorted(pending_replies, key=lambda pending: pending[0]):
             if time <= until:
                 proxy.now = max(proxy.now, time)
                 proxy.reply(fetch)
-        owed = [pending for pending in owed if pending[0] > until]
+        pending_replies = [pending for pending in pending_replies if pending[0] > until]
         proxy.run(0)
         proxy.now = until
 
@@ -163,8 +163,8 @@
     assert sent.count('e1') > 2 * sent.count('e0') > 0, (sent.count('e1'), sent.count('e0'))
 
 
-def place_apart(proxy):
-    """Endpoints in two zones, and with room: the work that piles up at a silent one would send the rest elsewhere."""
+def place_in_two_zones(proxy):
+    """Put the endpoints in two zones, with room: else the load that piles up at a silent one would divert requests."""
     rows = []
     for incarnation, zone in (('e0', 'r/c'), ('e1', 'q/c')):
         row = proxy.machine.replica.get('endpoints', incarnation)
@@ -172,19 +172,19 @@
     proxy.put_rows(rows)
 
 
-@behave.when('e0 falls silent, and {count:d} requests come, {gap:d} ms apart')
-def endpoint_falls_silent(context, count: int, gap: int):
-    proxy, owed = context.proxy, []
-    place_apart(proxy)
+@behave.when('e0 stops responding, and {count:d} requests arrive, {gap:d} ms apart')
+def endpoint_stops_responding(context, count: int, gap: int):
+    proxy, pending_replies = context.proxy, []
+    place_in_two_zones(proxy)
     for _ in range(count):
         proxy.request()
-        owed += [(proxy.now + ms(FAST_MS), fetch) for fetch in proxy.fetches() if fetch.incarnation == 'e1']
+        pending_replies += [(proxy.now + ms(FAST_MS), fetch) for fetch in proxy.fetches() if fetch.incarnation == 'e1']
         proxy.effects.clear()
         proxy.run(gap)
-        for time, fetch in owed:
+        for time, fetch in pending_replies:
             if time <= proxy.now:
                 proxy.reply(fetch)
-        owed = [pending for pending in owed if pending[0] > proxy.now]
+        pending_replies = [pending for pending in pending_replies if pending[0] > proxy.now]
 
 
 @behave.then('e0 has been sent no more than {most:d} of them, and e1 the rest')
@@ -209,13 +209,13 @@
     proxy.effects.clear()
 
 
-@behave.when('their callers hang up')
-def callers_hang_up(context):
+@behave.when('their callers disconnect')
+def callers_disconnect(context):
     for request_id in context.waiting.values():
         context.proxy.feed('hung_up', request_id)
 
 
-@behave.when('the endpoint has room again for one')
+@behave.when('the endpoint has room for one more')
 def endpoint_has_room(context):
     context.proxy.reply(context.held_fetches[0])
 
@@ -231,34 +231,34 @@
     assert not context.proxy.fetches()
 
 
-@behave.when('{seconds:d} s go by for the proxy')
-def time_goes_by_for_proxy(context, seconds: int):
+@behave.when('{seconds:d} s pass for the proxy')
+def time_passes_for_proxy(context, seconds: int):
     context.proxy.run(1000 * seconds)
 
 
-@behave.then('each of those that waited is told 503')
+@behave.then('each waiting request gets 503')
 def waiting_are_refused(context):
     responses = [context.proxy.response(request_id) for request_id in context.waiting.values()]
     assert [response.status for response in responses] == [503] * 3
 
 
-@behave.when('the endpoint is full, and {count:d} more requests come')
+@behave.when('the endpoint is full, and {count:d} more requests arrive')
 def many_requests_wait(context, count: int):
     proxy = context.proxy
     for _ in range(count + 6):
         proxy.request()
     context.held_fetches = proxy.fetches()
     proxy.effects.clear()
-    context.choices = []
-    choose = proxy.machine.endpoint_selection.choose_endpoint
+    context.selections = []
+    choose_endpoint = proxy.machine.endpoint_selection.choose_endpoint
 
-    def choose_and_note(request):
-        context.choices.append(request)
-        return choose(request)
+    def choose_and_record(request):
+        context.selections.append(request)
+        return choose_endpoint(request)
 
-    proxy.machine.endpoint_selection.choose_endpoint = choose_and_note
+    proxy.machine.endpoint_selection.choose_endpoint = choose_and_record
 
 
-@behave.then('one of them is sent, and the pool was looked at no more than {most:d} times')
-def pool_is_looked_at_rarely(context, most: int):
-    assert len(context.proxy.fetches()) == 1 and len(context.choices) <= most, len(context.choices)
+@behave.then('one of them is sent, and endpoint selection ran no more than {most:d} times')
+def endpoints_are_selected_rarely(context, most: int):
+    assert len(context.proxy.fetches()) == 1 and len(context.selections) <= most, len(context.selections)
--- a/features/steps/open_limits_steps.py
+++ b/features/steps/open_limits_steps.py
@@ -1,14 +1,14 @@
-"""Steps of open.feature: the operator's limits at the server for open traffic, over real connections."""
+"""Steps of open.feature: the operator's limits on the server for open traffic, over real connections."""
 
 import behave
 
-import features.support.open_traffic_front as open_traffic_front
+import features.support.open_traffic_ingress as open_traffic_ingress
 import features.support.reactor_thread as reactor_thread
 import zinctrail.runtime.effects as effects
 
 
 def chunked_body(*sizes: int) -> bytes:
-    """A body in chunks of so many bytes."""
+    """Return a body in chunks of the given sizes."""
     return b''.join(b'%x\r\n%s\r\n' % (size, b'x' * size) for size in sizes) + b'0\r\n\r\n'
 
 
@@ -19,101 +19,103 @@
     'a header line of 1500 bytes': b'GET /a HTTP/1.1\r\nA: %s\r\n' % (b'x' * 1500),
     'many header lines of 1500 bytes together': b'GET /a HTTP/1.1\r\n' + b'A: xxxxx\r\n' * 190,
     'a header of 900 bytes': b'GET /a HTTP/1.1\r\nHost: h\r\nA: %s\r\n\r\n' % (b'x' * 870),
-    'a body told as 2001 bytes': HEAD + b'Content-Length: 2001\r\n\r\nx',
-    'a body told as 90000000 bytes': HEAD + b'Content-Length: 90000000\r\n\r\nx',
+    'a body announced as 2001 bytes': HEAD + b'Content-Length: 2001\r\n\r\nx',
+    'a body announced as 90000000 bytes': HEAD + b'Content-Length: 90000000\r\n\r\nx',
     'a body in chunks of 2500 bytes together': CHUNKED + chunked_body(1000, 1500),
     'a body of 2000 bytes in chunks': CHUNKED + chunked_body(500, 1500),
-    'a form of 2000 bytes that nobody can read': HEAD + FORM + b'%' * 2000,
+    'an unreadable form of 2000 bytes': HEAD + FORM + b'%' * 2000,
     'a line that is no header': b'GET /a HTTP/1.1\r\nwhat is this\r\n\r\n',
-    'half a header, and then nothing': open_traffic_front.REQUEST[:30],
+    'half a header, and then nothing': open_traffic_ingress.REQUEST[:30],
     'half a body, and then nothing': HEAD + b'Content-Length: 100\r\n\r\nhalf',
     'nothing at all': b'',
 }
 
 
-@behave.given('a front with header_bytes {header:d}, body_bytes {body:d}, header_ms {header_ms:d}, idle_ms {idle_ms:d}')
-def front_with_limits(context, header: int, body: int, header_ms: int, idle_ms: int):
-    context.front = open_traffic_front.OpenTrafficFront()
+@behave.given(
+    'an ingress with header_bytes {header:d}, body_bytes {body:d}, header_ms {header_ms:d}, idle_ms {idle_ms:d}'
+)
+def ingress_with_limits(context, header: int, body: int, header_ms: int, idle_ms: int):
+    context.ingress = open_traffic_ingress.OpenTrafficIngress()
     context.limits = effects.Limits(header, body, header_ms, idle_ms)
-    context.front.limit(context.limits)
+    context.ingress.limit(context.limits)
 
 
-@behave.when('a client sends {what}')
-def client_sends(context, what: str):
-    context.client, context.other_client = context.front.connect(), context.front.connect()
-    reactor_thread.wait_for(lambda: len(context.front.server.connections) == 2)
-    context.client.send(REQUESTS[what])
+@behave.when('a client sends {request}')
+def client_sends(context, request: str):
+    context.client, context.other_client = context.ingress.connect(), context.ingress.connect()
+    reactor_thread.wait_for(lambda: len(context.ingress.server.connections) == 2)
+    context.client.send(REQUESTS[request])
 
 
-def index_of_request(front, has_id: bool) -> int:
-    """Which request carries an id, as only those of the other client do, or carries none."""
-    return next(index for index, (_, call) in enumerate(front.requests) if bool(call.headers.get('zt-id')) == has_id)
+def index_of_request(ingress, has_id: bool) -> int:
+    """Return the index of the request with an id, which only the other client sends, or of the one without."""
+    return next(index for index, (_, call) in enumerate(ingress.requests) if bool(call.headers.get('zt-id')) == has_id)
 
 
 def serve_other_client(context):
-    """Serve a request of the other client."""
-    front = context.front
-    context.other_client.send(open_traffic_front.REQUEST)
-    reactor_thread.wait_for(lambda: any(call.headers.get('zt-id') for _, call in front.requests))
-    front.respond(index_of_request(front, has_id=True))
-    assert context.other_client.read(open_traffic_front.BODY).startswith(b'HTTP/1.1 200 ')
+    """Serve a request of the other client, to show that it is not affected."""
+    ingress = context.ingress
+    context.other_client.send(open_traffic_ingress.REQUEST)
+    reactor_thread.wait_for(lambda: any(call.headers.get('zt-id') for _, call in ingress.requests))
+    ingress.respond(index_of_request(ingress, has_id=True))
+    assert context.other_client.read(open_traffic_ingress.BODY).startswith(b'HTTP/1.1 200 ')
 
 
 def serve_client(context):
     """Serve the request that is within the limits."""
-    front = context.front
-    reactor_thread.wait_for(lambda: len(front.requests) == 2)
-    front.respond(index_of_request(front, has_id=False))
-    assert context.client.read(open_traffic_front.BODY).startswith(b'HTTP/1.1 200 ')
+    ingress = context.ingress
+    reactor_thread.wait_for(lambda: len(ingress.requests) == 2)
+    ingress.respond(index_of_request(ingress, has_id=False))
+    assert context.client.read(open_traffic_ingress.BODY).startswith(b'HTTP/1.1 200 ')
 
 
-@behave.then('it is answered {answer}, and another client is served meanwhile')
-def response_by_limits(context, answer: str):
-    front = context.front
+@behave.then('it gets {status}, and another client is served meanwhile')
+def response_by_limits(context, status: str):
+    ingress = context.ingress
     serve_other_client(context)
-    if answer == '200':
+    if status == '200':
         serve_client(context)
         return
-    if answer in ('408', 'close'):
-        front.advance(0.1)
-        assert len(front.server.connections) == 2
-        # Twice, because what takes too long is refused first, and what does not end then is closed.
-        front.advance(3)
+    if status in ('408', 'close'):
+        ingress.advance(0.1)
+        assert len(ingress.server.connections) == 2
+        # Twice, because a request that takes too long is refused first, and its connection closed if it does not end then.
+        ingress.advance(3)
     received = context.client.read()
     context.client.socket.close()
-    if answer == 'close':
+    if status == 'close':
         assert received == b'', received
     else:
-        assert received.startswith(b'HTTP/1.1 %s ' % answer.encode()), received
-    assert (b'Retry-After' in received) == (answer == '503')
-    assert len(front.requests) == 1
-    reactor_thread.wait_for(lambda: all(not connection.is_refused for connection in front.server.connections))
-    assert reactor_thread.call(lambda: front.server.buffered_bytes) == 0
+        assert received.startswith(b'HTTP/1.1 %s ' % status.encode()), received
+    assert (b'Retry-After' in received) == (status == '503')
+    assert len(ingress.requests) == 1
+    reactor_thread.wait_for(lambda: all(not connection.is_refused for connection in ingress.server.connections))
+    assert reactor_thread.call(lambda: ingress.server.buffered_bytes) == 0
 
 
-@behave.when("a client's request is answered")
+@behave.when("a client's request is served")
 def client_is_served(context):
-    context.client = context.front.connect()
-    context.client.send(open_traffic_front.REQUEST)
-    reactor_thread.wait_for(lambda: context.front.requests)
-    context.front.respond()
-    context.received = context.client.read(open_traffic_front.BODY)
+    context.client = context.ingress.connect()
+    context.client.send(open_traffic_ingress.REQUEST)
+    reactor_thread.wait_for(lambda: context.ingress.requests)
+    context.ingress.respond()
+    context.received = context.client.read(open_traffic_ingress.BODY)
 
 
-@behave.then('its answer says timeout={seconds:d}')
+@behave.then('its response says timeout={seconds:d}')
 def response_states_timeout(context, seconds: int):
     assert b'timeout=%d\r\n' % seconds in context.received, context.received
 
 
-@behave.when('the limits come with idle_ms {idle_ms:d}')
+@behave.when('the limits change to idle_ms {idle_ms:d}')
 def limits_change(context, idle_ms: int):
-    context.front.advance(5)
-    assert len(context.front.server.connections) == 1
-    context.front.limit(effects.Limits(1000, 2000, 300, idle_ms))
-    context.front.advance(5)
+    context.ingress.advance(5)
+    assert len(context.ingress.server.connections) == 1
+    context.ingress.limit(effects.Limits(1000, 2000, 300, idle_ms))
+    context.ingress.advance(5)
 
 
-@behave.then('the resting connection is closed in order')
+@behave.then('the idle connection is closed cleanly')
 def idle_connection_is_closed(context):
     assert context.client.socket.recv(10) == b''
 
@@ -131,33 +133,33 @@
         proxy.machine.out.clear()
 
 
-@behave.then('the front is told idle_ms {idle_ms:d} once')
+@behave.then('the ingress gets idle_ms {idle_ms:d} once')
 def server_gets_limits_once(context, idle_ms: int):
     assert context.limits == [effects.Limits(idle_ms=idle_ms)], context.limits
 
 
-@behave.when("a client's request is answered, with an empty line that comes {when} the answer")
+@behave.when("a client's request is served, with an empty line that comes {when} the response")
 def request_with_empty_line(context, when: str):
-    front = context.front
-    context.client = front.connect()
-    context.client.send(open_traffic_front.REQUEST + (b'\r\n' if when == 'before' else b''))
-    reactor_thread.wait_for(lambda: front.requests)
+    ingress = context.ingress
+    context.client = ingress.connect()
+    context.client.send(open_traffic_ingress.REQUEST + (b'\r\n' if when == 'before' else b''))
+    reactor_thread.wait_for(lambda: ingress.requests)
     if when == 'before':
-        reactor_thread.wait_for(lambda: all(connection._dataBuffer for connection in front.server.connections))
-    front.respond()
-    context.client.read(open_traffic_front.BODY)
+        reactor_thread.wait_for(lambda: all(connection._dataBuffer for connection in ingress.server.connections))
+    ingress.respond()
+    context.client.read(open_traffic_ingress.BODY)
     if when == 'after':
         context.client.send(b'\r\n')
         # By then the channel has read the empty line, and waits for a request's first line.
         reactor_thread.wait_for(
-            lambda: all(connection._HTTPChannel__first_line == 2 for connection in front.server.connections)
+            lambda: all(connection._HTTPChannel__first_line == 2 for connection in ingress.server.connections)
         )
 
 
-@behave.then('after 3 s its connection is still there, and serves')
+@behave.then('after 3 s its connection is still open, and serves')
 def connection_still_serves(context):
-    context.front.advance(3)
-    context.client.send(open_traffic_front.REQUEST)
-    reactor_thread.wait_for(lambda: len(context.front.requests) == 2)
-    context.front.respond()
-    assert context.client.read(open_traffic_front.BODY).startswith(b'HTTP/1.1 200 ')
+    context.ingress.advance(3)
+    context.client.send(open_traffic_ingress.REQUEST)
+    reactor_thread.wait_for(lambda: len(context.ingress.requests) == 2)
+    context.ingress.respond()
+    assert context.client.read(open_traffic_ingress.BODY).startswith(b'HTTP/1.1 200 ')
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -8,7 +8,7 @@
   voter_host             a control node whose other voters the scenario plays
   leading_control_node   a leader without other voters, with proxies
   following_proxy        a proxy that follows b, with a lease and a pool of two endpoints
-  open_traffic_proxy     a proxy for open traffic, its endpoints played
+  open_traffic_proxy     a proxy for open traffic, whose endpoints a scenario scripts
   lookup_directory       a directory that serves lookups from a state that the scenario defines
   credit_pool            a pool's credit ledger, and proxies that request credit from it
   operation_cases        each operation of a leader, and an event before a late copy of its request
@@ -33,7 +33,7 @@
   http_calls             calls over HTTP and raw bytes, each on a connection of its own
   scripted_endpoints     a proxy between raw clients and endpoints that do as a script says
   endpoint_actions       what such an endpoint may do with a request
-  open_traffic_front     the server for open traffic
+  open_traffic_ingress   the server for open traffic
   fleet_under_load       a small fleet of processes, with endpoints and callers
   endpoint               an endpoint that misbehaves as it is told
   deployment             processes of the adapter, with an operator
--- a/features/support/open_traffic_front.py
+++ b/features/support/open_traffic_ingress.py
@@ -1,4 +1,4 @@
-"""The server for open traffic over real connections; a scenario gives the responses, and moves its clock."""
+"""The server for open traffic on real connections; a scenario sends the responses and advances its clock."""
 
 import twisted.internet.reactor as reactor
 
@@ -8,25 +8,25 @@
 import zinctrail.transport.dialect as dialect
 import zinctrail.transport.open_traffic_server as open_traffic_server
 
-# A whole request, which carries an id.
+# A complete request with an id.
 REQUEST = b'GET /a HTTP/1.1\r\nHost: h\r\nzt-id: 1\r\n\r\n'
 BODY = b'whole'
 
 
 class RecordingHost:
-    """A host whose machine answers nothing by itself."""
+    """A host that records requests and hang-ups, and sends no responses by itself."""
 
     def __init__(self):
         # (id, call) of each request and of each hang-up.
         self.requests, self.hang_ups = [], []
 
     def feed(self, kind, request_id, call=None):
-        """Keep what the server feeds."""
+        """Record an input from the server."""
         (self.requests if kind == 'front' else self.hang_ups).append((request_id, call))
 
 
-class OpenTrafficFront:
-    """A server that listens on loopback, and what it was sent."""
+class OpenTrafficIngress:
+    """A server that listens on loopback, with the requests that it received."""
 
     def __init__(self):
         self.host = RecordingHost()
@@ -40,11 +40,11 @@
 
     @property
     def requests(self) -> list[tuple]:
-        """(id, call) of each request that came."""
+        """(id, call) of each request that was received."""
         return self.host.requests
 
     def connect(self) -> raw_client.RawClient:
-        """A client's connection to the server."""
+        """Open a client's connection to the server."""
         return raw_client.RawClient(self.port)
 
     def limit(self, limits: effects.Limits) -> None:
@@ -52,16 +52,16 @@
         reactor_thread.call(lambda: self.server.apply_limits(limits))
 
     def drain(self, stops_listening: bool) -> None:
-        """Let the server leave; once shut, it takes no connections."""
+        """Drain the server; with `stops_listening` it accepts no more connections."""
         reactor_thread.call(lambda: self.server.drain(stops_listening))
 
     def respond(self, index: int = -1) -> None:
-        """Answer a request, by default the last that came."""
+        """Respond to a request, by default the last one received."""
         request_id = self.requests[index][0]
         reactor_thread.call(lambda: self.server.respond(effects.HttpResponse(request_id, 200, {}, BODY)))
 
     def advance(self, seconds: float) -> None:
-        """Let the server look after its connections as if so many seconds had gone by."""
+        """Let the server check its connections' timeouts as if so many seconds had passed."""
         real = self.server.now
 
         def sweep():
--- a/features/support/open_traffic_proxy.py
+++ b/features/support/open_traffic_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy for open traffic under test: its state is put in by hand, its effects are looked at and its fetches answered.
+"""A proxy for open traffic under test: a scenario writes its state, checks its effects and responds to its fetches.
 
 Everything is in virtual time, without a network.
 """
@@ -15,7 +15,7 @@
 import zinctrail.runtime.settings as settings
 
 START = durations.ms(60000)
-# So far away that the lease never ends by itself.
+# So late that the lease never expires by itself.
 LEASE_END = durations.ms(10**9)
 GRACE = durations.ms(6000)
 RULE = {
@@ -41,13 +41,13 @@
 
 
 def member_row(index: int) -> list:
-    """The row of a proxy."""
+    """Return the row of a proxy."""
     addresses = {'addr': f'10.0.1.{index}:1', 'http': f'10.0.1.{index}:2', 'front': f'10.0.1.{index}:3'}
     return ['members', f'm{index}', {'role': 'prox', 'cell': 'r/c', 'level': 1, **addresses}]
 
 
 def endpoint_row(index: int, is_cold: bool) -> list:
-    """The row of an endpoint; one that is cold has yet to warm up."""
+    """Return the row of an endpoint; a cold one has yet to warm up."""
     row = {
         'addr': f'10.0.0.{index + 1}:80',
         'service': 's',
@@ -63,7 +63,7 @@
 
 
 class OpenTrafficProxy(machine_host.TimedMachine):
-    """The proxy with a number among `proxies`, before endpoints of one pool that one rule leads to."""
+    """Proxy number `number` of `proxies`, with one rule that routes to one pool of endpoints."""
 
     def __init__(
         self,
@@ -94,12 +94,12 @@
             ]
         )
         self.effects: list = []
-        # (time, incarnation of the endpoint) of each request that was sent on.
+        # (time, incarnation of the endpoint) of each request that was sent to an endpoint.
         self.sent: list[tuple[datetime.timedelta, str]] = []
         self.request_count = 0
 
     def put_rows(self, rows: list[list]) -> None:
-        """Commit a version that changes these rows: table, key, value."""
+        """Commit a version that changes rows, each a list of table, key and value."""
         replica = self.machine.replica
         replica.accept((1, self.version), rows=rows)
         replica.commit((1, self.version))
@@ -108,14 +108,14 @@
         self.machine.out.clear()
 
     def feed(self, kind: str, *arguments) -> list:
-        """Give the machine an input; its effects are returned and kept."""
+        """Feed the machine an input; record its effects and return them."""
         outputs = self.machine.feed(kind, self.now, *arguments)
         self.effects += outputs
         self.sent += [(self.now, effect.incarnation) for effect in outputs if isinstance(effect, effects.HttpFetch)]
         return outputs
 
     def request(self, left: int = 2000, **headers: str) -> tuple[str, int]:
-        """Give the machine a request with so many ms left; its id."""
+        """Feed the machine a request with `left` ms left; return its id."""
         self.request_count += 1
         request_id = ('front', self.request_count)
         headers = {'host': 'h', 'zt-id': f'id{self.request_count}', 'zt-left-ms': str(left), **headers}
@@ -123,11 +123,11 @@
         return request_id
 
     def fetches(self) -> list[effects.HttpFetch]:
-        """The requests to endpoints among the effects that were kept."""
+        """Return the requests to endpoints among the recorded effects."""
         return [effect for effect in self.effects if isinstance(effect, effects.HttpFetch)]
 
     def response(self, request_id) -> effects.HttpResponse | None:
-        """The response to a request; None where there is none yet."""
+        """Return the response to a request; None if there is none yet."""
         responses = (effect for effect in self.effects if isinstance(effect, effects.HttpResponse))
         return next((response for response in responses if response.request_id == request_id), None)
 
@@ -140,7 +140,7 @@
         body: bytes = b'x',
         **headers: str,
     ) -> None:
-        """Let the endpoint answer; names of headers are written with underscores."""
+        """Let the endpoint respond to a fetch; names of headers are written with underscores."""
         given = {name.replace('_', '-'): value for name, value in headers.items()}
         headers = {'zt-id': fetch.headers['zt-id'], 'zt-stamp': 's', **given}
         self.feed('fetched', fetch.fetch_id, effects.HttpResult(status, headers, body, sent, fault))
