--- a/features/steps/client_disconnect_steps.py
+++ b/features/steps/client_disconnect_steps.py
@@ -1,4 +1,4 @@
-"""Steps of client_disconnects.feature: clients that leave, seen by a proxy's state machine and over real connections."""
+"""Steps of client_disconnects.feature: disconnects of clients, at a proxy's state machine and on real connections."""
 
 import collections.abc
 
@@ -18,7 +18,7 @@
 
 ms = durations.ms
 Proxy = open_traffic_proxy.OpenTrafficProxy
-# As many as the two endpoints take, and those beyond wait for room.
+# As many requests as the two endpoints accept; further ones wait for room.
 FULL = 12
 # Longer than an endpoint may be silent before the request is hedged.
 UNTIL_HEDGED_MS = 700
@@ -29,13 +29,13 @@
 
 
 def wait_for_lease(proxy: Proxy) -> tuple[str, int]:
-    """A request waits for a lease."""
+    """Let a request wait for a lease; return its id."""
     proxy.machine.lease_until = proxy.now
     return proxy.request()
 
 
 def wait_for_room(proxy: Proxy) -> tuple[str, int]:
-    """A request waits for room, since others have taken all of it."""
+    """Let a request wait for room, because others fill the endpoints; return its id."""
     for _ in range(FULL):
         proxy.request()
     assert len(proxy.fetches()) == FULL
@@ -44,28 +44,28 @@
 
 
 def reach_endpoint(proxy: Proxy) -> tuple[str, int]:
-    """A request is at an endpoint."""
+    """Send a request to an endpoint; return its id."""
     request_id = proxy.request()
     assert len(proxy.fetches()) == 1
     return request_id
 
 
 def reach_endpoint_and_drain(proxy: Proxy) -> tuple[str, int]:
-    """A request is at an endpoint, and the proxy is told to stop."""
+    """Send a request to an endpoint, and tell the proxy to stop; return the request's id."""
     request_id = reach_endpoint(proxy)
     proxy.feed('stop')
     return request_id
 
 
 def reach_endpoint_and_lose_lease(proxy: Proxy) -> tuple[str, int]:
-    """A request is at an endpoint, and the proxy may not act on its state any more."""
+    """Send a request to an endpoint, and let the proxy's lease expire; return the request's id."""
     request_id = reach_endpoint(proxy)
     proxy.machine.lease_until = proxy.now
     return request_id
 
 
 def reach_both(proxy: Proxy) -> tuple[str, int]:
-    """A request is at two endpoints, since the first was silent."""
+    """Send a request to a second endpoint, because the first is silent; return its id."""
     request_id = reach_endpoint(proxy)
     proxy.run(UNTIL_HEDGED_MS)
     assert len(proxy.fetches()) == 2
@@ -73,7 +73,7 @@
 
 
 def reach_second_after_refusal(proxy: Proxy) -> tuple[str, int]:
-    """A request is at the second endpoint, since the first did not run it."""
+    """Send a request to a second endpoint, because the first did not run it; return its id."""
     request_id = reach_endpoint(proxy)
     proxy.reply(proxy.fetches()[0], status=503, zt_not_run='1')
     assert len(proxy.fetches()) == 2
@@ -81,7 +81,7 @@
 
 
 def reach_second_after_error(proxy: Proxy) -> tuple[str, int]:
-    """A request is at the second endpoint, and the first has answered an error meanwhile."""
+    """Send a request to both endpoints, and let the first respond with an error; return its id."""
     request_id = reach_both(proxy)
     proxy.reply(proxy.fetches()[0], status=500)
     return request_id
@@ -99,76 +99,78 @@
 }
 
 
-@behave.when('its request is {state}, and the caller goes away')
-def caller_goes_away(context, state: str):
+@behave.when('its request is {state}, and the caller disconnects')
+def caller_disconnects(context, state: str):
     context.request_id = STATES[state](context.proxy)
     context.attempt_id = f'id{context.request_id[1]}'
     context.at_disconnect = context.proxy.feed('hung_up', context.request_id)
 
 
 def cancelled(proxy: Proxy) -> set[int]:
-    """The ids of the calls that were cancelled."""
+    """Return the ids of the calls that were cancelled."""
     return {effect.fetch_id for effect in proxy.effects if isinstance(effect, effects.CancelFetch)}
 
 
-def calls_of(context) -> list[effects.HttpFetch]:
-    """The calls to endpoints that were made for the request."""
+def calls_for_request(context) -> list[effects.HttpFetch]:
+    """Return the calls to endpoints that were made for the request."""
     return [fetch for fetch in context.proxy.fetches() if fetch.headers['zt-id'] == context.attempt_id]
 
 
-@behave.then('{count:d} calls to endpoints are cancelled, and {left:d} run on')
+@behave.then('{count:d} calls to endpoints are cancelled, and {left:d} continue')
 def calls_are_cancelled(context, count: int, left: int):
     now = {effect.fetch_id for effect in context.at_disconnect if isinstance(effect, effects.CancelFetch)}
     in_flight = {
-        fetch.fetch_id for fetch in calls_of(context) if fetch.fetch_id in context.proxy.machine.open_upstream.fetches
+        fetch.fetch_id
+        for fetch in calls_for_request(context)
+        if fetch.fetch_id in context.proxy.machine.open_upstream.fetches
     }
     assert (len(now), len(in_flight)) == (count, left), (now, in_flight)
-    assert now <= {fetch.fetch_id for fetch in calls_of(context)}
+    assert now <= {fetch.fetch_id for fetch in calls_for_request(context)}
 
 
-@behave.when('the proxy goes on for {duration:d} ms')
-def time_goes_by(context, duration: int):
+@behave.when('the proxy runs for another {duration:d} ms')
+def proxy_runs_on(context, duration: int):
     proxy = context.proxy
     for fetch in proxy.fetches():
-        # Others that had taken the room end, so that whoever waits could be sent.
+        # The requests that filled the endpoints complete, so that a waiting one could be sent.
         if fetch.headers['zt-id'] != context.attempt_id and fetch.fetch_id not in cancelled(proxy):
             proxy.reply(fetch)
     proxy.machine.lease_until = open_traffic_proxy.LEASE_END
     proxy.run(duration)
-    for fetch in calls_of(context):
+    for fetch in calls_for_request(context):
         if fetch.fetch_id in proxy.machine.open_upstream.fetches:
             proxy.reply(fetch, fault='late')
 
 
-@behave.then('it was sent {times:d} times in all, and no work is counted at any endpoint')
+@behave.then('it was sent {times:d} times in all, and no call of it counts as in progress')
 def sent_in_all(context, times: int):
     machine = context.proxy.machine
-    assert len(calls_of(context)) == times, calls_of(context)
-    mine = {fetch.fetch_id for fetch in calls_of(context)}
+    assert len(calls_for_request(context)) == times, calls_for_request(context)
+    mine = {fetch.fetch_id for fetch in calls_for_request(context)}
     assert not mine & set(machine.open_upstream.fetches)
     in_use = sum(view.in_use for view in machine.endpoint_selection.endpoint_views.values())
     assert in_use == len(machine.open_upstream.fetches), in_use
 
 
-@behave.then('the proxy holds no request')
-def proxy_holds_none(context):
+@behave.then('the proxy no longer holds the request')
+def proxy_dropped_request(context):
     held = context.proxy.machine.runner.requests
     assert context.request_id not in held, held
 
 
-@behave.when('the result of the cancelled call comes')
-def cancelled_result_comes(context):
-    (fetch,) = calls_of(context)
+@behave.when('the result of the cancelled call arrives')
+def cancelled_result_arrives(context):
+    (fetch,) = calls_for_request(context)
     context.proxy.reply(fetch)
 
 
-@behave.when('the caller of one at the endpoint goes away')
-def one_at_endpoint_leaves(context):
+@behave.when('the caller of a request at the endpoint disconnects')
+def caller_at_endpoint_disconnects(context):
     context.proxy.feed('hung_up', ('front', 1))
 
 
-@behave.then('the proxy ends as soon as it takes no more connections')
-def proxy_ends_early(context):
+@behave.then('the proxy exits as soon as it accepts no more connections')
+def proxy_exits_early(context):
     proxy = context.proxy
     proxy.run(3000)
     ends = [effect for effect in proxy.effects if isinstance(effect, effects.Exit)]
@@ -176,24 +178,24 @@
 
 
 @behave.when(
-    'e0 is silent, e1 takes {took:d} ms, and {count:d} callers come {gap:d} ms apart, who go away after {patience:d} ms'
+    'e0 is silent, e1 takes {took:d} ms, and {count:d} callers connect {gap:d} ms apart and disconnect after {patience:d} ms'
 )
 def impatient_callers_come(context, took: int, count: int, gap: int, patience: int):
     proxy = context.proxy
-    # What is due: (time, kind, request id or call), in the order of its times.
-    due: list[tuple] = []
+    # Events to come: (time, kind, request id or call).
+    events: list[tuple] = []
     for _ in range(count):
         known = len(proxy.fetches())
         request_id = proxy.request()
-        due.append((proxy.now + ms(patience), 'leaves', request_id))
-        due += [
-            (proxy.now + ms(took), 'answers', fetch) for fetch in proxy.fetches()[known:] if fetch.incarnation == 'e1'
+        events.append((proxy.now + ms(patience), 'disconnects', request_id))
+        events += [
+            (proxy.now + ms(took), 'responds', fetch) for fetch in proxy.fetches()[known:] if fetch.incarnation == 'e1'
         ]
         end = proxy.now + ms(gap)
-        for at, kind, what in sorted((row for row in due if row[0] <= end), key=lambda row: row[0]):
+        for at, kind, subject in sorted((row for row in events if row[0] <= end), key=lambda row: row[0]):
             proxy.now = at
-            proxy.reply(what) if kind == 'answers' else proxy.feed('hung_up', what)
-        due = [row for row in due if row[0] > end]
+            proxy.reply(subject) if kind == 'responds' else proxy.feed('hung_up', subject)
+        events = [row for row in events if row[0] > end]
         proxy.run(0)
         proxy.now = end
 
@@ -204,7 +206,7 @@
     assert 0 < sent.count('e0') < len(sent) / 3, (sent.count('e0'), len(sent))
 
 
-# -- clients that link our library -----------------------------------------------
+# -- clients that use the zinctrail library --------------------------------------
 
 REQUEST_ID = f'{following_proxy.EPOCH}.a'
 
@@ -215,8 +217,8 @@
     context.times = times
 
 
-@behave.when("a client's request is {state}, and the client goes away")
-def library_client_goes_away(context, state: str):
+@behave.when("a client's request is {state}, and the client disconnects")
+def library_client_disconnects(context, state: str):
     proxy = context.proxy
     context.call = proxy.request(REQUEST_ID)
     if context.times == 'once':
@@ -237,8 +239,8 @@
     assert len(machine.credit.pool_credit(following_proxy.POOL).queue) == (held and not context.proxy.fetches)
 
 
-@behave.when('credit comes for all that waits')
-def credit_for_all(context):
+@behave.when('credit arrives for every waiting request')
+def credit_arrives_for_all(context):
     context.proxy.grant_credit()
 
 
@@ -247,7 +249,7 @@
     assert len(context.proxy.fetches) == times, context.proxy.fetches
 
 
-@behave.then('its slot is reserved, and given back after its time')
+@behave.then('its slot stays reserved, and is released after its time')
 def slot_is_reserved(context):
     pool = context.proxy.machine.credit.pool_credit(following_proxy.POOL)
     assert pool.in_use == {following_proxy.INCARNATION: 1}, pool.in_use
@@ -255,13 +257,13 @@
     assert not pool.in_use, pool.in_use
 
 
-@behave.when("the result of the client's cancelled call comes")
-def library_result_comes_late(context):
+@behave.when("the result of the client's cancelled call arrives")
+def late_result_arrives(context):
     context.proxy.feed('fetched', context.proxy.fetches[0].fetch_id, effects.HttpResult(200, {}, b'{}'))
 
 
-@behave.then('nothing of it is answered')
-def nothing_is_answered(context):
+@behave.then('no response is sent for it')
+def no_response_is_sent(context):
     assert context.call not in context.proxy.answered
     assert not context.proxy.machine.upstream.fetches
 
@@ -269,45 +271,45 @@
 # -- real connections ------------------------------------------------------------
 
 TIMEOUT = ms(10000)
-# By then a close has been seen.
+# How long to wait until a close has been seen.
 SETTLE_S = 0.05
 HEAD = b'HTTP/1.1 200 OK\r\nzt-id: 1\r\ncontent-length: 5\r\n\r\n'
 BODY = b'whole'
-PARTS = {'nothing of it': b'', 'a part of its head': HEAD[:20], 'a part of its body': HEAD + BODY[:2]}
+PARTS = {'nothing': b'', 'a part of its headers': HEAD[:20], 'a part of its body': HEAD + BODY[:2]}
 
 
-@behave.given('an endpoint that responds with a full response, but first as far as {part}')
-def endpoint_answers_in_part(context, part: str):
+@behave.given('an endpoint that responds in full, but first only with {part}')
+def endpoint_responds_partially(context, part: str):
     context.heads, context.ended, context.errors = [], [], []
     context.is_cancelled = False
 
-    def answer(connection, head):
+    def respond(connection, head):
         context.heads.append(connection)
         connection.transport.write(HEAD + BODY if context.is_cancelled else PARTS[part])
 
-    port = raw_server.listen(lambda: raw_server.RawConnection(answer, context.ended.append))
+    port = raw_server.listen(lambda: raw_server.RawConnection(respond, context.ended.append))
     context.address = raw_server.address_of(port)
     context.endpoint_client = endpoint_client.EndpointClient(reactor)
 
 
 def fetch(context) -> defer.Deferred:
-    """A request to the endpoint, on the reactor's thread."""
+    """Send a request to the endpoint; must run on the reactor's thread."""
     headers = {'zt-id': '1', 'host': 'h'}
     return context.endpoint_client.fetch('i', context.address, 'GET', '/x', headers, b'', TIMEOUT, False)
 
 
-def note_error(context) -> collections.abc.Callable[[dict], None]:
-    """An observer that keeps errors that nobody handled."""
+def error_recorder(context) -> collections.abc.Callable[[dict], None]:
+    """Return a log observer that records unhandled errors."""
     return lambda event: context.errors.append(event) if event.get('isError') else None
 
 
 def cancel_at(context, is_time: collections.abc.Callable[[], bool]) -> None:
-    """Send a request, and cancel it as soon as it is time."""
-    observer = note_error(context)
+    """Send a request, and cancel it as soon as `is_time` returns true."""
+    observer = error_recorder(context)
     reactor_thread.call(lambda: twisted_log.addObserver(observer))
     calls: list[defer.Deferred] = []
 
-    def begin() -> None:
+    def send() -> None:
         calls.append(fetch(context))
         cancel_in_time()
 
@@ -316,7 +318,7 @@
             calls[0].cancel()
         return is_time()
 
-    reactor_thread.call(begin)
+    reactor_thread.call(send)
     reactor_thread.wait_for(cancel_in_time)
     reactor_thread.call(lambda: task.deferLater(reactor, SETTLE_S))
     reactor_thread.call(lambda: twisted_log.removeObserver(observer))
@@ -335,15 +337,15 @@
 
 
 @behave.when('a request to it is cancelled once a part of the answer has come')
-def cancelled_within_answer(context):
+def cancelled_within_response(context):
     def has_begun() -> bool:
-        # The request is with its endpoint, and what it wrote has come: its turn of the reactor is over.
+        # The endpoint has the request, and its first bytes are written: the reactor has no more of them buffered.
         return bool(context.heads) and not context.heads[0].transport.dataBuffer
 
     cancel_at(context, has_begun)
 
 
-@behave.then('the connection is closed, and nothing broke')
+@behave.then('the connection is closed, and no exception is logged')
 def connection_is_closed(context):
     assert context.result.fault, context.result
     assert len(context.ended) == len(context.heads), (context.heads, context.ended)
@@ -351,16 +353,16 @@
     assert not reactor_thread.call(lambda: context.endpoint_client.is_distrusted('i'))
 
 
-@behave.then('the next request is answered over another connection')
-def next_request_is_answered(context):
+@behave.then('the next request gets its response over another connection')
+def next_request_gets_response(context):
     before = list(context.heads)
     result = reactor_thread.call(lambda: fetch(context))
     assert (result.status, result.body, result.fault) == (200, BODY, ''), result
     assert context.heads[-1] not in before
 
 
-@behave.when('a request is sent, and cancelled after its answer')
-def cancelled_after_answer(context):
+@behave.when('a request is sent, and cancelled after its response')
+def cancelled_after_response(context):
     for _ in range(2):
         calls = []
         reactor_thread.call(lambda calls=calls: calls.append(fetch(context)))
