--- a/features/steps/outlier_detection_steps.py
+++ b/features/steps/outlier_detection_steps.py
@@ -30,7 +30,7 @@
 
 
 def endpoint_row(index: int) -> dict:
-    """The row of an endpoint, at an address of its own."""
+    """Return the row of an endpoint with an address of its own."""
     return dict(ROW, addr=f'10.0.9.{index}:80')
 
 
@@ -47,7 +47,7 @@
 
 
 def frame_of_proxy(leader, number: int, kind: str, **fields) -> dict:
-    """A frame of a proxy to the leader."""
+    """Return a frame of a proxy to the leader."""
     envelope = {
         't': kind,
         'v': PROXY_LEVEL,
@@ -61,7 +61,7 @@
 # -- an endpoint that one proxy suspects ------------------------------------------------
 
 
-@behave.given('a master with an endpoint that beat {age_ms:d} ms ago')
+@behave.given('a leader with an endpoint whose last heartbeat was {age_ms:d} ms ago')
 def leader_with_endpoint(context, age_ms: int):
     leader = context.leader = leading_control_node.LeadingControlNode(1)
     leader.run_with_proxies(1000)
@@ -71,7 +71,7 @@
 
 
 def probe_result(finds: str) -> effects.HttpResult:
-    """The result of a health check that finds something."""
+    """Return the result of a health check, by its description in the scenario."""
     if 'answered' in finds:
         incarnation = {'itself': 'e1', 'another': 'e2'}.get(finds.rsplit(' by ')[1], '')
         return effects.HttpResult(int(finds.split()[2]), {'zt-inc': incarnation})
@@ -86,27 +86,27 @@
     leader.feed('recv', frame_of_proxy(leader, 1, 'suspect', inc='e1'))
     fetch = next(effect for effect in leader.effects if isinstance(effect, effects.HttpFetch))
     leader.feed('fetched', fetch.fetch_id, probe_result(finds))
-    # At once, because the scenario is about the verdict of this health check.
+    # A short time only, because the scenario is about the verdict of this one health check.
     leader.run_with_proxies(200)
 
 
 @behave.then('the endpoint is {verdict}')
 def endpoint_verdict_is(context, verdict: str):
-    assert (context.leader.machine.replica.get('endpoints', 'e1') is not None) == (verdict == 'there')
+    assert (context.leader.machine.replica.get('endpoints', 'e1') is not None) == (verdict == 'registered')
 
 
-# -- who answers a health check ----------------------------------------------------------
+# -- the responder to a health check ------------------------------------------------------
 
 
 class OwnHeaderDialect(dialect.NativeDialect):
-    """Who answers stands in a header of its own in answers to health checks only."""
+    """A dialect whose responses to health checks, and only those, name the endpoint in a header of their own."""
 
     def health_response_in(self, headers):
-        """The headers of an answer to a health check, with the name in the header that the machine reads."""
+        """Return the headers of a health check's response, with the endpoint's name in the header that the machine reads."""
         return dict(headers, **{'zt-inc': headers.get('own-name', '')})
 
 
-@behave.given("a control node's host whose dialect names who answers to a probe in a header of its own")
+@behave.given("a control node's host whose dialect names the responder to a probe in a header of its own")
 def host_with_own_header(context):
     context.fed = []
     machine = leading_control_node.LeadingControlNode(0).machine
@@ -115,7 +115,7 @@
 
 
 def fetch_by_plain_connection(incarnation, address, method, path, headers, body, timeout, once, is_ours):
-    """An endpoint's answer over a connection; responses to requests are not taken for it."""
+    """Return an endpoint's response to a health check; responses to requests must not be accepted for it."""
     assert is_ours({}) and not is_ours({'zt-id': 'of a request'})
     return defer.succeed(effects.HttpResult(503, {'own-name': 'e1'}))
 
@@ -128,8 +128,8 @@
     )
 
 
-@behave.then('the machine is told who answered')
-def machine_gets_who_answered(context):
+@behave.then("the machine gets the responder's name")
+def machine_gets_responder(context):
     ((kind, (_, result)),) = context.fed
     assert kind == 'fetched' and result.headers['zt-inc'] == 'e1', result
 
@@ -137,7 +137,7 @@
 # -- what many proxies report -----------------------------------------------------------
 
 
-@behave.given('a service of {count:d} endpoints before {proxies:d} proxies')
+@behave.given('a service of {count:d} endpoints behind {proxies:d} proxies')
 def service_with_endpoints(context, count: int, proxies: int):
     context.now, context.proxies = ms(100000), proxies
     context.endpoints = {f'e{index}': endpoint_row(index) for index in range(count)}
@@ -145,20 +145,20 @@
 
 
 def evaluate(context):
-    """The endpoints that the detector ejects now."""
+    """Return the endpoints that the detector ejects now."""
     return context.detector.evaluate(context.now, context.endpoints, context.proxies)
 
 
-@behave.when('{count:d} proxies tell of {failed:d} failures and {served:d} served')
+@behave.when('{count:d} proxies report {failed:d} failures and {served:d} successes')
 def proxies_report_one(context, count: int, failed: int, served: int):
     for index in range(count):
-        # As evenly as possible, because the scenario is about the sums.
+        # Spread evenly over the proxies, because the scenario is about the sums.
         failures = failed // count + (index < failed % count)
         context.detector.record(context.now, f'p{index}', {'e0': [served // count, failures]})
     evaluate(context)
 
 
-@behave.when('{count:d} proxies tell of {failed:d} failures of every endpoint')
+@behave.when('{count:d} proxies report {failed:d} failures of every endpoint')
 def proxies_report_all(context, count: int, failed: int):
     for index in range(count):
         reports = {incarnation: [0, failed // count] for incarnation in context.endpoints}
@@ -166,37 +166,37 @@
     evaluate(context)
 
 
-@behave.when('{duration:d} ms go by in doubt')
-def time_goes_by(context, duration: int):
+@behave.when('{duration:d} ms pass for the detector')
+def time_passes_for_detector(context, duration: int):
     context.now += ms(duration)
 
 
-@behave.then('{count:d} of its endpoints are doubted')
+@behave.then('{count:d} of its endpoints are ejected')
 def endpoints_are_ejected(context, count: int):
     ejected = evaluate(context)
     assert len(ejected) == count, ejected
 
 
-@behave.given('a master with 9 proxies and a service of 12 endpoints')
+@behave.given('a leader with 9 proxies and a service of 12 endpoints')
 def leader_with_proxies(context):
     context.leader = leading_control_node.LeadingControlNode(9)
     context.leader.run_with_proxies(1000)
     put_endpoints(context.leader, {f'e{index}': endpoint_row(index) for index in range(12)})
 
 
-@behave.when('two proxies tell it that an endpoint failed 4 times')
+@behave.when('two proxies report to it that an endpoint failed 4 times')
 def two_proxies_report(context):
     for number in (1, 2):
         context.leader.feed('recv', frame_of_proxy(context.leader, number, 'ill', ends={'e3': [1, 2]}))
 
 
-@behave.then('the routes doubt that endpoint within {duration:d} ms')
+@behave.then('the leader ejects that endpoint within {duration:d} ms')
 def endpoint_is_ejected(context, duration: int):
     context.leader.run_with_proxies(duration)
     assert set(context.leader.machine.replica.get('doubts')) == {'e3'}
 
 
-@behave.then('{duration:d} ms later no longer')
+@behave.then('{duration:d} ms later it is no longer ejected')
 def endpoint_is_back(context, duration: int):
     context.leader.run_with_proxies(duration)
     assert not context.leader.machine.replica.get('doubts')
@@ -206,12 +206,12 @@
 
 
 def reports_to_leader(proxy) -> list[dict]:
-    """What the proxy reported of endpoints: served and failed requests by endpoint."""
+    """Return the proxy's reports to the leader: the counts of served and failed requests by endpoint."""
     sent = [effect.frame for effect in proxy.effects if isinstance(effect, effects.Send)]
     return [frame['ends'] for frame in sent if frame['t'] == 'ill']
 
 
-@behave.when('one of them answers 500 to everything for {seconds:d} s')
+@behave.when('one of them responds 500 to every request for {seconds:d} s')
 def one_endpoint_fails(context, seconds: int):
     proxy = context.proxy
     proxy.machine.leader = dict(LEADER)
@@ -226,24 +226,24 @@
 
 
 @behave.then('it got less than a fifth of the requests')
-def failing_one_got_few(context):
+def failing_endpoint_got_few(context):
     failing, total = context.tally['e0'], sum(context.tally.values())
     assert 1 < failing < total / 5, context.tally
 
 
-@behave.then('the master was told of its failures')
+@behave.then('its failures were reported to the leader')
 def failures_are_reported(context):
     reports = reports_to_leader(context.proxy)
     assert reports and all(set(report) == {'e0'} for report in reports), reports
     assert sum(report['e0'][1] for report in reports) == context.tally['e0']
 
 
-@behave.when('the routes doubt {which}')
+@behave.when('the leader ejects {which}')
 def endpoints_ejected_by_leader(context, which: str):
     context.proxy.put_rows([['doubts', f'e{index}', 1] for index in range(2 if which == 'both' else 1)])
 
 
-@behave.then('the next {count:d} requests, answered at once, go to {where}')
+@behave.then('the next {count:d} requests, completed at once, go to {where}')
 def next_requests_go_to(context, count: int, where: str):
     proxy, sent_to = context.proxy, set()
     for _ in range(count):
@@ -256,22 +256,22 @@
     assert sent_to == ({'e1'} if where == 'the other' else {'e0', 'e1'}), sent_to
 
 
-@behave.when('an endpoint answers a request with {what}')
-def endpoint_answers(context, what: str):
+@behave.when('an endpoint responds to a request with {outcome}')
+def endpoint_responds(context, outcome: str):
     proxy = context.proxy
     proxy.machine.leader = dict(LEADER)
-    proxy.request(left=200 if 'silence' in what else 2000)
+    proxy.request(left=200 if 'silence' in outcome else 2000)
     fetch = proxy.fetches()[0]
-    if 'silence' in what:
+    if 'silence' in outcome:
         proxy.run(220)
         proxy.reply(fetch, 0, fault='CancelledError')
-    elif 'not run' in what:
-        proxy.reply(fetch, int(what.split()[0]), zt_not_run='1')
+    elif 'not run' in outcome:
+        proxy.reply(fetch, int(outcome.split()[0]), zt_not_run='1')
     else:
-        proxy.reply(fetch, int(what))
+        proxy.reply(fetch, int(outcome))
     proxy.run(100)
 
 
-@behave.then('nothing is held against it')
-def nothing_is_reported(context):
+@behave.then('no failure of it is reported')
+def no_failure_is_reported(context):
     assert not reports_to_leader(context.proxy)
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -13,39 +13,39 @@
 FRAME_LIMIT_BYTES = 200000
 # How many bytes arrive at once: an odd number, because a connection carries bytes and not frames.
 SEGMENT_BYTES = 997
-# Flips bits of the first byte, so that the compressed stream can not be read.
+# The bits to flip in the first byte, so that the stream can not be decompressed.
 BROKEN_BITS = 0x06
-# What a sync flush ends with, which the sender leaves out.
+# The trailer of a sync flush, which the sender leaves out.
 FLUSH_TRAILER_BYTES = 4
 
 
 class Wire(testing.StringTransport):
-    """A transport that keeps what is written, and takes the options of a socket."""
+    """A transport that records written bytes, and accepts the options of a socket."""
 
     def setTcpNoDelay(self, enabled):
-        """Take the option."""
+        """Ignore the option."""
 
     def getHandle(self):
-        """The socket, which this is as well."""
+        """Return the socket, which this object stands in for."""
         return self
 
     def setsockopt(self, *arguments):
-        """Take the option."""
+        """Ignore the option."""
 
 
 class Connection:
-    """One side's outgoing connection and the other side's end of it, with the bytes carried by hand."""
+    """An outbound connection and the peer's end of it; `carry` moves the bytes between them."""
 
     def __init__(self, level):
         self.received = []
-        self.here, self.there = new_links([]), new_links(self.received)
+        self.here, self.there = new_connections([]), new_connections(self.received)
         self.level = level
         self.outgoing = peer_connections.OutboundFactory(self.here, ADDRESS)
         self.here.outbound[ADDRESS] = self.outgoing
         self.carried_bytes = 0
 
     def connect(self):
-        """Bring both ends up; the level of the other side is known where it has told it."""
+        """Connect both ends; the level of the other side is known if it has sent it."""
         if self.level is not None:
             self.here.record_wire_level(ADDRESS, self.level)
         self.transport, self.end, self.end_transport = Wire(), peer_connections.InboundConnection(self.there), Wire()
@@ -53,13 +53,13 @@
         self.outgoing.buildProtocol(None).makeConnection(self.transport)
 
     def reconnect(self):
-        """Lose the connection and make the next one."""
+        """Lose the connection and make another one."""
         self.here.outbound_closed(self.outgoing)
         self.here.outbound[ADDRESS] = self.outgoing
         self.connect()
 
     def carry(self):
-        """Hand what was written to the other side, in segments."""
+        """Deliver the written bytes to the other side, in segments."""
         data = self.transport.value()
         self.transport.clear()
         self.carried_bytes += len(data)
@@ -68,13 +68,13 @@
             data = data[SEGMENT_BYTES:]
 
 
-def new_links(received):
-    """The connections of a process that appends each frame it gets to `received`."""
+def new_connections(received):
+    """Return the connections of a process, which append each received frame to `received`."""
     return peer_connections.PeerConnections(task.Clock(), FRAME_LIMIT_BYTES, received.append, lambda addr: None)
 
 
 def heartbeat_responses():
-    """200 frames, most of them small and some large."""
+    """Return 200 frames, most of them small and some large."""
     rng = random.Random(5)
     sizes = [0] * 190 + [3000] * 8 + [90000] * 2
     rng.shuffle(sizes)
@@ -126,13 +126,13 @@
     send_frames(context)
 
 
-@behave.then('they arrive whole and in order')
+@behave.then('they arrive complete and in order')
 def frames_arrive(context):
     received = context.connection.received
     assert received == context.sent, (len(received), len(context.sent))
 
 
-@behave.then('what went out is {size} of them')
+@behave.then('the connection carries {size} of their bytes')
 def carried_bytes_are(context, size: str):
     connection = context.connection
     is_compressed = connection.carried_bytes < connection.here.sent_bytes * 0.6
@@ -141,17 +141,17 @@
 
 
 def netstring(data):
-    """Bytes with their length before them."""
+    """Return bytes with their length before them."""
     return b'%d:%s,' % (len(data), data)
 
 
-@behave.when('the other side is sent {what}')
-def malformed_stream_sent(context, what: str):
+@behave.when('the other side receives {content}')
+def malformed_stream_sent(context, content: str):
     compressor = zlib.compressobj(1, zlib.DEFLATED, -peer_connections.WINDOW_BITS, peer_connections.MEMORY_LEVEL)
-    if 'unfolds' in what:
+    if 'decompresses' in content:
         too_long = b'{"t": "' + b'x' * (FRAME_LIMIT_BYTES + 10) + b'"}'
         body = compressor.compress(too_long) + compressor.flush(zlib.Z_SYNC_FLUSH)
-    elif 'over' in what:
+    elif 'ends' in content:
         body = compressor.compress(b'{"t": "leave"}') + compressor.flush(zlib.Z_FINISH) + peer_connections.FLUSH_TRAILER
     else:
         frame = b'{"t": "leave", "f": "b", "a": "10.0.0.1:1000"}'
@@ -160,7 +160,7 @@
     context.connection.end.dataReceived(netstring(peer_connections.STREAMED + body[:-FLUSH_TRAILER_BYTES]))
 
 
-@behave.then('it closes the connection without a frame')
+@behave.then('it closes the connection and delivers no frame')
 def connection_closed(context):
     connection = context.connection
     assert connection.end_transport.disconnecting and not connection.received, connection.received
