--- a/features/steps/platform_chain_command_steps.py
+++ b/features/steps/platform_chain_command_steps.py
@@ -135,7 +135,7 @@
 def item_is_gone(context):
     assert RULE not in run_command('items', 'versions').output
     response = deployment_client.running().call_control('GET', '/v1/configuration')
-    deployment_client.assert_configuration_stands(response)
+    deployment_client.assert_configuration_in_force(response)
 
 
 @behave.when('by zinctrailctl one empties the cell {zone}')
--- a/features/steps/platform_chain_disconnect_steps.py
+++ b/features/steps/platform_chain_disconnect_steps.py
@@ -13,8 +13,8 @@
 SEEN_S = 12
 LEFT_MS = 30000
 ROUTES = {
-    'one endpoint': deployment_client.PATIENT_ROUTE,
-    'two endpoints': deployment_client.PATIENT_HEDGED_ROUTE,
+    'one endpoint': deployment_client.LONG_TIMEOUT_ROUTE,
+    'two endpoints': deployment_client.LONG_TIMEOUT_HEDGED_ROUTE,
 }
 ENDPOINT_COUNTS = {'one endpoint': 1, 'two endpoints': 2}
 ENDS = {'told to end': signal.SIGTERM, 'killed': signal.SIGKILL}
@@ -37,7 +37,7 @@
 def send_and_wait(context, front: str, where: str) -> socket.socket:
     """A client's connection, once its request is worked on."""
     deployment = deployment_client.running()
-    deployment_client.add_patient_routes(front)
+    deployment_client.add_long_timeout_routes(front)
     # The retry budget that pays for a hedge grows with the requests that were served.
     for _ in range(10):
         deployment_client.send_request(front)
--- a/features/steps/platform_chain_restart_steps.py
+++ b/features/steps/platform_chain_restart_steps.py
@@ -142,7 +142,7 @@
 @behave.then('each acknowledged change is read back')
 def acknowledged_changes_stand(context):
     response = deployment_client.running().call_control('GET', '/v1/configuration')
-    deployment_client.assert_configuration_stands(response)
+    deployment_client.assert_configuration_in_force(response)
 
 
 @behave.when('every process is killed and starts again')
--- a/features/steps/platform_chain_steps.py
+++ b/features/steps/platform_chain_steps.py
@@ -43,7 +43,7 @@
 def configuration_is_read_back(context):
     for process in deployment_client.running().cores:
         response = http_calls.call(process.control, 'GET', '/v1/configuration')
-        deployment_client.assert_configuration_stands(response)
+        deployment_client.assert_configuration_in_force(response)
 
 
 @behave.then('resolutions of each control node name both proxies')
--- a/features/support/deployment_client.py
+++ b/features/support/deployment_client.py
@@ -18,8 +18,8 @@
 ROUTE_TIMEOUT_MS = 10000
 ROUTE_TARGET_MS = 1500
 # Routes whose requests may wait for a minute: they are not hedged meanwhile, or soon.
-PATIENT_ROUTE, PATIENT_HEDGED_ROUTE = 'r8', 'r9'
-PATIENT_MS = 60000
+LONG_TIMEOUT_ROUTE, LONG_TIMEOUT_HEDGED_ROUTE = 'r8', 'r9'
+LONG_TIMEOUT_MS = 60000
 
 Executed = tuple[endpoint.Endpoint, endpoint.Request]
 
@@ -71,9 +71,9 @@
 def executions(attempt_id: str) -> list[Executed]:
     """(endpoint, request) wherever an attempt was executed."""
     return [
-        (stand_in, request)
-        for stand_in in running().endpoints
-        for request in stand_in.executed
+        (test_endpoint, request)
+        for test_endpoint in running().endpoints
+        for request in test_endpoint.executed
         if request['id'] == attempt_id
     ]
 
@@ -81,9 +81,9 @@
 def execution_of(response: http_calls.Response) -> Executed:
     """(endpoint, request) where a response says that it was executed; an idempotent one may have run elsewhere too."""
     return next(
-        (stand_in, request)
-        for stand_in, request in executions(response.attempt_id)
-        if stand_in.identifier == response.document['by']
+        (test_endpoint, request)
+        for test_endpoint, request in executions(response.attempt_id)
+        if test_endpoint.identifier == response.document['by']
     )
 
 
@@ -105,7 +105,7 @@
     running().wait_until(lambda: resolutions() == wanted, what, limit_s)
 
 
-def assert_configuration_stands(response: http_calls.Response) -> None:
+def assert_configuration_in_force(response: http_calls.Response) -> None:
     """A configuration that was read back is what the operator was told to be in force."""
     assert platform_documents.by_name(response.document) == platform_documents.by_name(running().items), response
 
@@ -117,13 +117,13 @@
     running().items['route_list'] += routes
 
 
-def add_patient_routes(front: str) -> None:
+def add_long_timeout_routes(front: str) -> None:
     """Add the patient routes, unless they are there, and wait until a proxy knows them."""
-    targets_ms = {PATIENT_ROUTE: PATIENT_MS, PATIENT_HEDGED_ROUTE: ROUTE_TARGET_MS}
-    if all(route['name'] != PATIENT_ROUTE for route in running().items['route_list']):
+    targets_ms = {LONG_TIMEOUT_ROUTE: LONG_TIMEOUT_MS, LONG_TIMEOUT_HEDGED_ROUTE: ROUTE_TARGET_MS}
+    if all(route['name'] != LONG_TIMEOUT_ROUTE for route in running().items['route_list']):
         add_routes(
             [
-                platform_documents.route(name, timeout_ms=PATIENT_MS, target_ms=target_ms)
+                platform_documents.route(name, timeout_ms=LONG_TIMEOUT_MS, target_ms=target_ms)
                 for name, target_ms in targets_ms.items()
             ]
         )
