--- a/zinctrail/consensus/chunked_transfer.py
+++ b/zinctrail/consensus/chunked_transfer.py
@@ -117,7 +117,7 @@
         self.window = INITIAL_WINDOW
         # When each chunk in flight was sent: {number: time}.
         self.sent_at: dict[int, datetime.timedelta] = {}
-        # When the receiver last made progress.
+        # When the number of acknowledged chunks last changed, or when the transfer was last started or resumed.
         self.last_progress_at = now
 
     def take_due(self, now: datetime.timedelta) -> list[int]:
--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -38,7 +38,7 @@
     leadership: 'leadership.Leadership | None'
     replica: replica.Replica
     election: election.Election
-    # True once the process was told to stop.
+    # True once the process was asked to stop.
     stopping: bool
 
     @property
@@ -77,7 +77,7 @@
 
     def __init__(self, voter: LeavingVoter):
         self.voter = voter
-        # The earliest and the latest exit of the process, set once it is told to stop.
+        # The earliest and the latest exit of the process, set once it is asked to stop.
         self.earliest_exit = self.latest_exit = durations.ZERO
         # Whether the leader has released this node, which need not wait any longer then.
         self.released = False
--- a/zinctrail/consensus/leader_part.py
+++ b/zinctrail/consensus/leader_part.py
@@ -31,7 +31,7 @@
     leadership: 'leadership.Leadership | None'
     # Detects that no majority is reachable.
     majority_contact: majority_contact.MajorityContact
-    # True once the process was told to stop.
+    # True once the process was asked to stop.
     stopping: bool
     # The number of its newest heartbeat round; not reset between its terms.
     heartbeat_round: int
@@ -51,13 +51,13 @@
         """Send a message."""
 
     def send(self, address: str, frame: codec.Frame, may_compress: bool = False) -> None:
-        """Send a frame; `may_compress` is true if the receiver reads packed frames."""
+        """Send a frame; `may_compress` is true if the receiver reads compressed frames."""
 
     def record_chunk_support(self, message: codec.Message) -> None:
         """Record whether the sender supports chunked transfers."""
 
     def forget_addresses(self) -> None:
-        """Drop the control node addresses of neither voters nor members."""
+        """Drop the addresses of control nodes that are neither voters nor members."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
         """Set a timer, replacing its earlier deadline."""
--- a/zinctrail/consensus/leading.py
+++ b/zinctrail/consensus/leading.py
@@ -232,7 +232,7 @@
                 self.forget_addresses()
 
     def forget_addresses(self):
-        """Drop the control node addresses of neither voters nor members."""
+        """Drop the addresses of control nodes that are neither voters nor members."""
         voting_set = self.voting_set() or {'accepted': (), 'committed': ()}
         needed = {*voting_set['accepted'], *voting_set['committed'], *self.replica.get('members')}
         for node in [n for n in self.control_node_addresses if n not in needed]:
--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -236,7 +236,11 @@
     # -- serving calls ----------------------------------------------------
 
     def serve_call(self, operation: str, arguments: Arguments, callback: Callback, waits_for_leader: bool = False):
-        """Serve a call as leader. A `waits_for_leader` caller itself waits for the next leader, so it needs no early response."""
+        """Serve a call as leader.
+
+        :param waits_for_leader: true if the caller retries at the next leader, so that it needs no response when this
+            leader loses contact with its majority.
+        """
         self.call_number += 1
         number = self.call_number
         if not waits_for_leader:
--- a/zinctrail/consensus/member.py
+++ b/zinctrail/consensus/member.py
@@ -274,7 +274,7 @@
         self.set_timer('exit', self.exit_delay())
 
     def exit_delay(self):
-        """Return how long the process keeps running after it was told to stop."""
+        """Return how long the process keeps running after it was asked to stop."""
         return EXIT_DELAY
 
     def timer_exit(self):
--- a/zinctrail/consensus/operations.py
+++ b/zinctrail/consensus/operations.py
@@ -50,7 +50,7 @@
 
 
 class ServingVoter(typing.Protocol):
-    """The interface that OperationService needs of its voter."""
+    """The interface of the voter that OperationService uses."""
 
     now: datetime.timedelta
     term: int
@@ -63,20 +63,20 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node is the leader, as far as it knows."""
+        """True if this node considers itself the leader."""
 
     @property
     def peers(self) -> dict[str, peers.Peer]:
-        """The leader's records of the other members."""
+        """Return the leader's records of the other members: {node: record}."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def has_effects(self, operation: str) -> bool:
-        """Whether carrying an operation out twice differs from carrying it out once."""
+        """True if executing an operation twice differs from executing it once."""
 
     def is_retryable(self, operation: str, arguments: Arguments) -> bool:
-        """Whether an operation is safe to repeat: the same as carried out once, even after others took effect."""
+        """True if the operation may be executed again, even after other changes, with the effect of one execution."""
 
 
 class OperationService:
@@ -132,7 +132,7 @@
         )
 
     def may_have_been_carried_out(self, message: messages.OperationRequest) -> bool:
-        """Whether an earlier leader may have carried out the operation, and the state could not tell."""
+        """True if an earlier leader may have carried out the operation, and the state cannot tell whether it did."""
         return (
             message.first_term is not None
             and message.first_term < self.voter.term
@@ -167,12 +167,12 @@
             self.results.popitem(last=False)
 
     def has_capacity(self) -> bool:
-        """Whether the result of one more operation can be stored."""
+        """True if the result of one more operation can be stored."""
         self.forget_old_results()
         return len(self.results) + len(self.in_progress) < MAX_RESULTS
 
     def is_outdated(self, message: messages.OperationRequest) -> bool:
-        """Whether a request was in flight for so long that its caller may no longer wait for it."""
+        """True if a request was in flight for so long that its caller may no longer wait for it."""
         if message.last_round is None:
             # Members of the previous wire level name no round.
             return False
--- a/zinctrail/consensus/segment.py
+++ b/zinctrail/consensus/segment.py
@@ -41,7 +41,7 @@
         self.rows.update(((table, key), value) for table, key, value in rows)
 
     def take_replaced_files(self) -> list[str]:
-        """Return the files that the segment file replaces, and forget them.
+        """Return the files that the segment file replaces, and remove them from `files`.
 
         Only the newest file stays in `files`, because the segment file takes over its name.
         """
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -121,7 +121,7 @@
         """Stop voting and leading after a failed write, until the disk can be written again."""
         self.persistence.record_disk_error(text)
         if self.is_leader:
-            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader is gone.
+            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader has stopped leading.
             self.graceful_shutdown.name_successor()
             self.step_down('disk')
         self.election.abandon()
@@ -372,7 +372,7 @@
     def send_operation(self, key: str):
         """Send an operation to the leader, if there is one and contact with the majority is not lost."""
         if self.mode == 'follower' and self.majority_contact.is_lost():
-            # Not sent, so that the caller can still be told that the operation was not executed.
+            # Not sent, so that the caller can still be informed that the operation was not executed.
             self.majority_contact.arm_timer()
             return
         super().send_operation(key)
--- a/zinctrail/proxy/node.py
+++ b/zinctrail/proxy/node.py
@@ -87,7 +87,7 @@
         self.set_timer('demand', self.settings.demand)
 
     def on_stop(self) -> None:
-        """Input: the process was told to stop."""
+        """Input: the process was asked to stop."""
         self.shutdown.begin()
 
     # -- shared by its parts --------------------------------------------------
--- a/zinctrail/proxy/proxy_part.py
+++ b/zinctrail/proxy/proxy_part.py
@@ -50,7 +50,7 @@
     replica: replica.Replica
     routes: routing_table.RoutingTable
     leader: messages.LeaderRow | None
-    # Whether the process was told to stop.
+    # Whether the process was asked to stop.
     stopping: bool
     # Counters for the metrics and the status page, by the name of the event.
     counts: collections.Counter[str]
--- a/zinctrail/proxy/shutdown.py
+++ b/zinctrail/proxy/shutdown.py
@@ -21,7 +21,7 @@
         super().__init__(proxy)
         # Whether open traffic is refused, because the process exits soon.
         self.refuses_open_traffic = False
-        # When draining ends at the latest, even with requests in flight; set once the process is told to stop.
+        # When draining ends at the latest, even with requests in flight; set once the process is asked to stop.
         self.drain_deadline = durations.ZERO
 
     def begin(self) -> None:
