--- a/zinctrail/consensus/chunked_transfer.py
+++ b/zinctrail/consensus/chunked_transfer.py
@@ -80,11 +80,11 @@
         return rows
 
     def is_last(self, number: int) -> bool:
-        """Whether this is the last chunk; it must have been cut already."""
+        """True if this is the last chunk; it must have been cut already."""
         return number == len(self.chunks) - 1 and self._next_row is None
 
     def is_single(self) -> bool:
-        """Whether the content fits in one chunk."""
+        """True if the content fits in one chunk."""
         return self.chunk(1) is None
 
     def _cut(self) -> None:
@@ -187,5 +187,5 @@
         self.received += 1
 
     def matches(self, digest: str) -> bool:
-        """Whether the digest of the rows received so far is `digest`, so that they are complete and unaltered."""
+        """True if the digest of the rows received so far is `digest`, so that they are complete and unaltered."""
         return self._sum.hexdigest() == digest
--- a/zinctrail/consensus/data_folder.py
+++ b/zinctrail/consensus/data_folder.py
@@ -7,7 +7,7 @@
 
 
 class FolderOwner(typing.Protocol):
-    """The interface that DataFolder needs of its voter."""
+    """The interface of the voter that DataFolder uses."""
 
     # The effects of the input that is being handled.
     out: list
--- a/zinctrail/consensus/field_checks.py
+++ b/zinctrail/consensus/field_checks.py
@@ -20,27 +20,27 @@
 
 
 def is_string(value: typing.Any) -> bool:
-    """Whether `value` is a string."""
+    """True if `value` is a string."""
     return isinstance(value, str)
 
 
 def is_integer(value: typing.Any) -> bool:
-    """Whether `value` is an integer; JSON's true and false are none."""
+    """True if `value` is an integer; JSON's true and false are none."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_count(value: typing.Any) -> bool:
-    """Whether `value` is an integer that is not negative."""
+    """True if `value` is an integer that is not negative."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def is_boolean(value: typing.Any) -> bool:
-    """Whether `value` is true or false."""
+    """True if `value` is true or false."""
     return isinstance(value, bool)
 
 
 def is_version(value: typing.Any) -> bool:
-    """Whether `value` is a (term, generation) pair, or another pair of counts."""
+    """True if `value` is a (term, generation) pair, or another pair of counts."""
     return isinstance(value, (list, tuple)) and len(value) == 2 and is_count(value[0]) and is_count(value[1])
 
 
@@ -50,17 +50,17 @@
 
 
 def is_ratio(value: typing.Any) -> bool:
-    """Whether `value` is a number from 0 to MAX_RATIO."""
+    """True if `value` is a number from 0 to MAX_RATIO."""
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= MAX_RATIO
 
 
 def is_row(value: typing.Any) -> bool:
-    """Whether `value` is a row of the replicated state: [table, key, value]."""
+    """True if `value` is a row of the replicated state: [table, key, value]."""
     return isinstance(value, (list, tuple)) and len(value) == 3 and is_string(value[0]) and is_string(value[1])
 
 
 def is_known_member(value: typing.Any) -> bool:
-    """Whether `value` is [address, id, has responded recently]: a control node that a probed node knows."""
+    """True if `value` is [address, id, has responded recently]: a control node that a probed node knows."""
     return (
         isinstance(value, (list, tuple))
         and len(value) == 3
@@ -71,12 +71,12 @@
 
 
 def is_held_credit(value: typing.Any) -> bool:
-    """Whether `value` is [credit held, credit in use], each {incarnation: count}."""
+    """True if `value` is [credit held, credit in use], each {incarnation: count}."""
     return isinstance(value, (list, tuple)) and len(value) == 2 and all(is_count_map(counts) for counts in value)
 
 
 def is_failure_counts(value: typing.Any) -> bool:
-    """Whether `value` is a pair of failure counters, each below COUNTER_LIMIT."""
+    """True if `value` is a pair of failure counters, each below COUNTER_LIMIT."""
     return (
         isinstance(value, (list, tuple))
         and len(value) == 2
@@ -85,7 +85,7 @@
 
 
 def is_http_result(value: typing.Any) -> bool:
-    """Whether `value` is [status, headers, body in base64]."""
+    """True if `value` is [status, headers, body in base64]."""
     return (
         isinstance(value, (list, tuple))
         and len(value) == 3
--- a/zinctrail/consensus/history.py
+++ b/zinctrail/consensus/history.py
@@ -91,7 +91,7 @@
             del self.by_routes_base[change.routes_base]
 
     def reaches(self, base: tuple[int, int], everything: bool) -> bool:
-        """Whether a node with version `base` can catch up by changes, of all tables or of the routing tables only."""
+        """True if a node with version `base` can catch up by changes, of all tables or of the routing tables only."""
         newest = self.newest if everything else self.routes_version
         if base == NO_VERSION:
             return False
--- a/zinctrail/consensus/peers.py
+++ b/zinctrail/consensus/peers.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """A member of the cluster as its leader sees it. Versions are (term, number)."""
+    """A member of the cluster as its leader sees it. Versions are (term, generation) pairs."""
 
     node: str
     address: str
--- a/zinctrail/consensus/persistence.py
+++ b/zinctrail/consensus/persistence.py
@@ -20,7 +20,7 @@
 
 
 class PersistentVoter(typing.Protocol):
-    """The interface that Persistence needs of its voter."""
+    """The interface of the voter that Persistence uses."""
 
     node: str
     term: int
--- a/zinctrail/consensus/replica.py
+++ b/zinctrail/consensus/replica.py
@@ -99,7 +99,7 @@
         return tables
 
     def fits(self, version: Version, base: Version | None, is_full: bool) -> bool:
-        """Whether a version, which builds on `base` or is a full state, may follow the accepted version.
+        """True if a version, which builds on `base` or is a full state, may follow the accepted version.
 
         Versions are compared as (term, generation), so a receiver never goes back to an older term, not even to one
         with the same generation.
@@ -160,14 +160,14 @@
 
 
 def quorum(nodes: collections.abc.Iterable[str], voters: collections.abc.Collection[str] | None) -> bool:
-    """Whether `nodes` include a strict majority of the voters."""
+    """True if `nodes` include a strict majority of the voters."""
     if not voters:
         return False
     return 2 * len(set(nodes) & set(voters)) > len(voters)
 
 
 def joint_quorum(nodes: collections.abc.Iterable[str], voting_set: VotingSet | None) -> bool:
-    """Whether `nodes` include a majority of the committed voting set and a majority of the accepted one.
+    """True if `nodes` include a majority of the committed voting set and a majority of the accepted one.
 
     During a change of the voting set, no decision may be made without both the old set and the new one.
     """
--- a/zinctrail/consensus/replication.py
+++ b/zinctrail/consensus/replication.py
@@ -187,7 +187,7 @@
                 self.leadership.member_updates.send_missing(peer)
 
     def awaits_response(self, peer):
-        """Whether to wait for a non-voting member's response to the last version that it was sent.
+        """True if the leader waits for a non-voting member's response to the last version that it was sent.
 
         The wait is bounded by the setting `ack`. Changes made meanwhile go to the member in one frame, and no other
         member is delayed.
--- a/zinctrail/consensus/snapshot_writer.py
+++ b/zinctrail/consensus/snapshot_writer.py
@@ -32,12 +32,12 @@
     written_bytes: int = 0
 
     def is_received(self, version: storage.Version) -> bool:
-        """Whether this is the snapshot of `version`, written as the version is received in chunks."""
+        """True if this is the snapshot of `version`, written as the version is received in chunks."""
         return self.content is None and self.text.version == version
 
 
 class SnapshottedVoter(typing.Protocol):
-    """The interface that SnapshotWriter needs of its voter."""
+    """The interface of the voter that SnapshotWriter uses."""
 
     replica: replica.Replica
     version_receiver: version_receiver.VersionReceiver
@@ -68,7 +68,7 @@
         self.open_snapshot: OpenSnapshot | None = None
 
     def is_small(self) -> bool:
-        """Whether the state is small enough to write its snapshot in one write."""
+        """True if the state is small enough to write its snapshot in one write."""
         return self.newest_bytes < AT_ONCE_BYTES and self.voter.replica.size() < AT_ONCE_ROWS
 
     def write_at_once(self) -> None:
@@ -87,7 +87,7 @@
     # -- in chunks --------------------------------------------------------
 
     def is_under_way(self) -> bool:
-        """Whether a snapshot is in progress; one whose state is no longer being received does not count."""
+        """True if a snapshot is in progress; one whose state is no longer being received does not count."""
         if self.open_snapshot is None:
             return False
         return self.open_snapshot.content is not None or self.voter.version_receiver.incoming is not None
--- a/zinctrail/consensus/state_transfer.py
+++ b/zinctrail/consensus/state_transfer.py
@@ -11,7 +11,8 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# Once the members known to read chunks outnumber twice the present members by more than this, absent ones are forgotten.
+# Absent members are dropped from the members known to support chunked transfers once these outnumber twice the present
+# members by more than this.
 CHUNK_READERS_SPARE = 64
 NO_VERSION = (0, 0)
 
@@ -27,14 +28,14 @@
         self.full_states: dict[bool, chunked_transfer.Content] = {}
 
     def is_under_way(self, peer: peers.Peer) -> bool:
-        """Whether a chunked transfer to a member is in progress."""
+        """True if a chunked transfer to a member is in progress."""
         return peer.node in self.transfers
 
     def begin(self, peer: peers.Peer, base: tuple[int, int] | None, rows: list | None) -> bool:
         """Begin a chunked transfer of `rows` on `base`, or of the full state if `rows` is None.
 
-        Returns False, without sending, if the member does not read chunks, or the content fits in one chunk or is not
-        newer than what the member has.
+        Returns False, without sending, if the member does not support chunked transfers, or the content fits in one
+        chunk or is not newer than what the member has.
         """
         voter = self.voter
         if peer.node not in voter.chunk_readers:
--- a/zinctrail/consensus/version_receiver.py
+++ b/zinctrail/consensus/version_receiver.py
@@ -15,7 +15,7 @@
 
 
 class ReceivingMember(typing.Protocol):
-    """The interface that VersionReceiver needs of its member."""
+    """The interface of the member that VersionReceiver uses."""
 
     role: str
     cluster: str
@@ -25,7 +25,7 @@
     replica: replica.Replica
 
     def follow(self, message: typing.Any) -> bool:
-        """Follow the sender of a leader's message; False if the message's term is older than this member's."""
+        """Follow the sender of a leader's message; return False if the message's term is older than this member's."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message to another process."""
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -121,7 +121,7 @@
         """Stop voting and leading after a failed write, until the disk can be written again."""
         self.persistence.record_disk_error(text)
         if self.is_leader:
-            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader has stopped leading.
+            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader stopped.
             self.graceful_shutdown.name_successor()
             self.step_down('disk')
         self.election.abandon()
@@ -205,7 +205,7 @@
         return not self.stopping and not self.disk_failed
 
     def discovery_targets(self) -> list[str]:
-        """The addresses that are probed in this round.
+        """Return the addresses to probe in this round.
 
         A leader keeps probing, so that a node whose seeds are all stale is found at
         its old address. A node without a formed cluster probes every seed that any
@@ -296,7 +296,7 @@
         self.formation.on_bootstrap(message)
 
     def on_bootstrap_response(self, message: messages.BootstrapResponse):
-        """Handle another node's report whether it has the first version of our cluster."""
+        """Handle another node's report on whether it has the first version of our cluster."""
         self.formation.on_bootstrap_response(message)
 
     # -- elections ----------------------------------------------------------
--- a/zinctrail/proxy/open_pipeline.py
+++ b/zinctrail/proxy/open_pipeline.py
@@ -40,7 +40,7 @@
 
 
 def accept(proxy: proxy_part.ProxyNode, request: Request) -> bool:
-    """Read the headers; refuse the request, or queue it for a lease, if this proxy can not serve it now."""
+    """Read the headers; refuse the request, or queue it for a lease, if this proxy cannot serve it now."""
     headers = request.call.headers
     request.id = headers.get('zt-id', '')
     if not request.id or len(request.id) > MAX_ID_LENGTH:
--- a/zinctrail/proxy/refusals.py
+++ b/zinctrail/proxy/refusals.py
@@ -61,7 +61,7 @@
 
 
 class MalformedRequest(Refusal):
-    """400: a header or the path can not be read."""
+    """400: a header or the path cannot be read."""
 
     def __init__(self, text: str):
         super().__init__(400, text)
