--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -121,7 +121,7 @@
         """Stop voting and leading after a failed write, until the disk can be written again."""
         self.persistence.record_disk_error(text)
         if self.is_leader:
-            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader stepped down.
+            # A named successor needs no pre-vote, and members need no timeout to detect that this leader stepped down.
             self.graceful_shutdown.name_successor()
             self.step_down('disk')
         self.election.abandon()
--- a/zinctrail/control/evacuations.py
+++ b/zinctrail/control/evacuations.py
@@ -111,7 +111,10 @@
 
 
 def _mark_endpoints_warming_up(txn: transactions.Transaction, zone: str) -> None:
-    """Mark a zone's endpoints, which may have cooled down without requests, as warming up until heartbeats report otherwise."""
+    """Mark a zone's endpoints as warming up until their heartbeats report otherwise.
+
+    Without requests they may have cooled down.
+    """
     for incarnation, endpoint in txn.items('endpoints').items():
         if endpoint['cell'] == zone and endpoint.get('plain'):
             txn.put('endpoints', incarnation, dict(endpoint, chill=WARM_UP_ASSUMED))
