--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -41,7 +41,7 @@
     deployment.start_applications()
     small_world.run(ms(3000))
     deployment.endpoints[1].kill()
-    deployment.operator.evacuate(deployment.cells[0])
+    deployment.operator.evacuate(deployment.zones[0])
     small_world.run(ms(4000))
     small_world.leader().kill()
     small_world.run(ms(4000))
--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -199,7 +199,7 @@
         # Only endpoints of r0 are left, so that what it carries without a home runs there.
         first = second
         for endpoint in context.deployment.endpoints:
-            if not endpoint.cell.startswith('r0'):
+            if not endpoint.zone.startswith('r0'):
                 endpoint.kill()
         context.world.run(ms(6500))
     request_id, response = send_request(context, first, 3000)
--- a/features/steps/ops_logs_steps.py
+++ b/features/steps/ops_logs_steps.py
@@ -154,7 +154,7 @@
 
 @behave.when('a run-once request runs in it')
 def at_most_once_request_runs(context):
-    caller = caller_actor.Caller(context.deployment, 'caller', context.deployment.cells[0], ['loans'], 1)
+    caller = caller_actor.Caller(context.deployment, 'caller', context.deployment.zones[0], ['loans'], 1)
     results = []
     caller.send_one('loans').addCallback(results.append)
     assert context.world.run(ms(10000), lambda: bool(results)) and results[0].outcome == 'ran', results
--- a/features/steps/orders_evacuation_steps.py
+++ b/features/steps/orders_evacuation_steps.py
@@ -123,7 +123,7 @@
 def evacuations_are_requested_at_once(context):
     nodes = context.world.of('core')
     context.statuses = []
-    context.cells = context.deployment.cells[:2]
+    context.cells = context.deployment.zones[:2]
     for number in range(ORDERS_AT_ONCE):
         body = json.dumps({'cell': context.cells[number % 2], 'on': True}).encode()
         address = nodes[number % len(nodes)].location.http
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -51,7 +51,7 @@
 def runs_in_r2(context, since, until):
     """(requests to catalog executed in a time, the share of them in r2)"""
     runs = [run for run in context.deployment.records.runs if since < run.at <= until and run.service == 'catalog']
-    return len(runs), sum(run.cell == 'r2/c0' for run in runs) / len(runs)
+    return len(runs), sum(run.zone == 'r2/c0' for run in runs) / len(runs)
 
 
 @behave.then("of catalog's further requests at least half as many again run in r2 as before")
@@ -72,5 +72,5 @@
 def built_in_choice_is_used(context):
     context.world.run(durations.ms(5000))
     runs = [run for run in context.deployment.records.runs if run.at > context.since and run.service == 'catalog']
-    assert len(runs) > 20 and len({run.cell for run in runs}) == 3
+    assert len(runs) > 20 and len({run.zone for run in runs}) == 3
     assert any('Policy of pool catalog failed' in text for node in context.world.of('prox') for _, text in node.logs)
--- a/features/steps/recover_steps.py
+++ b/features/steps/recover_steps.py
@@ -117,7 +117,7 @@
     simulated.run(SETTLING_TIME)
     seeds = [node.location.addr for node in simulated.of('dir') + simulated.of('prox') if node.up][:3]
     for index in range(3):
-        simulated.add(f'new{index}', 'core', context.deployment.cells[index], seeds).start()
+        simulated.add(f'new{index}', 'core', context.deployment.zones[index], seeds).start()
     simulated.run(ms(1000))
     target = simulated.nodes['new0']
     plan = recovery.RecoveryPlan(copies(context), target.location.http)
@@ -132,7 +132,7 @@
     """Let all nodes and endpoints of a region be lost."""
     lose([node for node in context.world.nodes.values() if node.location.cell.startswith(region)])
     for endpoint in context.deployment.endpoints:
-        if endpoint.cell.startswith(region):
+        if endpoint.zone.startswith(region):
             endpoint.kill()
 
 
--- a/features/support/voting_world.py
+++ b/features/support/voting_world.py
@@ -42,7 +42,7 @@
     deployment = client_deployment.Deployment(simulated, {**deployments.PRESETS['small'], 'cores': voters})
     deployment.start()
     for index in range(spares):
-        zone = deployment.cells[index % len(deployment.cells)]
+        zone = deployment.zones[index % len(deployment.zones)]
         simulated.add(f'spare{index}', 'core', zone, deployment.seeds).start()
     simulated.run(ms(12000), lambda: False)
     size = settled_size(min(MOST_VOTERS, voters + spares))
--- a/zinctrail/fleet/replay_simulated.py
+++ b/zinctrail/fleet/replay_simulated.py
@@ -30,9 +30,9 @@
         """Replay all events, `speed` times as fast as recorded."""
         deployment, world = self.deployment, self.world
         deployment.start()
-        for zone in deployment.cells:
+        for zone in deployment.zones:
             self.caller(zone, ())
-        self.library = application_actor.Application(deployment, 'app', deployment.cells[0]).library
+        self.library = application_actor.Application(deployment, 'app', deployment.zones[0]).library
         world.run(ms(START_MS))
         began = world.now
         for event in events:
@@ -55,7 +55,7 @@
 
     def do_request(self, event: dict) -> None:
         """Send a request."""
-        caller = self.caller(event.get('cell', self.deployment.cells[0]), tuple(event.get('home', ())))
+        caller = self.caller(event.get('cell', self.deployment.zones[0]), tuple(event.get('home', ())))
         caller.timeout = ms(event.get('left_ms', DEFAULT_TIMEOUT_MS))
         caller.send_one(event['service'])
 
--- a/zinctrail/simulation/actors/application.py
+++ b/zinctrail/simulation/actors/application.py
@@ -38,7 +38,7 @@
         self,
         deployment: 'client_deployment.Deployment',
         name: str,
-        cell: str,
+        zone: str,
         every: datetime.timedelta = ms(200),
         lease: datetime.timedelta = ms(3000),
     ) -> None:
--- a/zinctrail/simulation/actors/caller.py
+++ b/zinctrail/simulation/actors/caller.py
@@ -72,7 +72,7 @@
         self,
         deployment: 'client_deployment.Deployment',
         name: str,
-        cell: str,
+        zone: str,
         services: list[str],
         rate: float,
         home: typing.Sequence[str] = (),
@@ -83,7 +83,7 @@
         self.deployment = deployment
         self.world = deployment.world
         self.name = name
-        self.cell = cell
+        self.zone = zone
         self.services = services
         self.rate = rate
         self.timeout = timeout
@@ -91,13 +91,13 @@
         self.wild_chance = wild
         self.rng = random.Random(f'{self.world.seed}/{name}')
         directories = self.world.of('dir')
-        near = [node.location.http for node in directories if node.location.cell == cell]
-        far = [node.location.http for node in directories if node.location.cell != cell]
+        near = [node.location.http for node in directories if node.location.cell == zone]
+        far = [node.location.http for node in directories if node.location.cell != zone]
         self.rng.shuffle(far)
         self.library = request_client.RequestClient(
             self.world,
             near + far[:REMOTE_DIRECTORIES],
-            cell,
+            zone,
             home,
             fetcher=WorldFetcher(deployment, name, self.record_attempt),
             clock=self.world.seconds,
--- a/zinctrail/simulation/actors/deployment.py
+++ b/zinctrail/simulation/actors/deployment.py
@@ -31,7 +31,7 @@
         self.shape = shape
         self.plain = plain
         self.records = actor_records.Records()
-        self.cells = deployments.zones_of(shape)
+        self.zones = deployments.zones_of(shape)
         self.endpoints: list[endpoint_actor.Endpoint] = []
         self.callers: list[caller_actor.Caller] = []
         self.applications: list[application_actor.Application] = []
@@ -48,13 +48,13 @@
 
     def zone_at(self, number: int) -> str:
         """Return the name of the zone at an index; the index wraps around."""
-        return self.cells[number % len(self.cells)]
+        return self.zones[number % len(self.zones)]
 
-    def add_endpoint(self, service: str, cell: str, slots: int) -> None:
+    def add_endpoint(self, service: str, zone: str, slots: int) -> None:
         """Add an endpoint that is not started yet."""
         number = len(self.endpoints) + 1
         address = f'10.9.{number >> 8}.{number & 255}:80'
-        self.endpoints.append(endpoint_actor.Endpoint(self, f'end{number}', address, service, cell, slots))
+        self.endpoints.append(endpoint_actor.Endpoint(self, f'end{number}', address, service, zone, slots))
 
     def start(self, config: dict | None = None) -> None:
         """Start all processes and endpoints; return once there is a leader and the configuration is accepted.
@@ -87,7 +87,7 @@
         """
         services = sorted(self.shape['services'])
         rate = rate or self.shape['rate']
-        count = len(self.cells) * per_zone
+        count = len(self.zones) * per_zone
         for number in range(count):
             name = f'caller{len(self.callers)}'
             caller = caller_actor.Caller(self, name, self.zone_at(number), services, rate / count, **parameters)
--- a/zinctrail/simulation/actors/endpoint.py
+++ b/zinctrail/simulation/actors/endpoint.py
@@ -44,7 +44,7 @@
         name: str,
         address: str,
         service: str,
-        cell: str,
+        zone: str,
         slots: int = 8,
         labels: dict[str, str] | None = None,
         sends_heartbeats: bool = True,
@@ -54,7 +54,7 @@
         self.name = name
         self.address = address
         self.service = service
-        self.cell = cell
+        self.zone = zone
         self.slots = slots
         self.labels = labels
         self.sends_heartbeats = sends_heartbeats
@@ -78,7 +78,7 @@
         self.incarnation += 1
         self.up = True
         kind = PlainAdmission if self.deployment.plain else admission.Admission
-        self.admission = kind(self.address, self.service, self.cell, self.slots, self.labels, self.world.rng)
+        self.admission = kind(self.address, self.service, self.zone, self.slots, self.labels, self.world.rng)
         self.admission.cold = self.initial_warm_up
         self.incarnations = {self.admission.incarnation}
         self.running = 0
@@ -128,7 +128,7 @@
         """Return a random directory, usually one in the endpoint's zone."""
         rng = self.world.rng
         directories = self.world.of('dir')
-        near = [node for node in directories if node.location.cell == self.cell] or directories
+        near = [node for node in directories if node.location.cell == self.zone] or directories
         return rng.choice(near if rng.random() < SAME_ZONE_SHARE else directories)
 
     def on_heartbeat_response(
@@ -185,7 +185,7 @@
             is_unknown_target=headers['zt-inc'] not in self.incarnations,
             address=self.address,
             service=self.service,
-            cell=self.cell,
+            zone=self.zone,
             home=[region for region in headers.get('zt-home', '').split(',') if region],
             running=self.running + 1,
             capacity=self.admission.capacity(),
--- a/zinctrail/simulation/actors/operator.py
+++ b/zinctrail/simulation/actors/operator.py
@@ -110,7 +110,7 @@
         attempts: int = 20,
         wait: bool = False,
     ) -> None:
-        """Change the configuration by function(config): read, modify, apply; start over after a conflict or an error."""
+        """Read the configuration, change it by function(config), apply it; start over after a conflict or an error."""
 
         def on_read(document: dict | None) -> None:
             """Apply the changed configuration on top of the generation that was read."""
@@ -152,7 +152,7 @@
 
         self.ask('GET', '/v1/status', None, on_response, STATUS_TIMEOUT)
 
-    def evacuate(self, cell: str, is_evacuated: bool = True) -> None:
+    def evacuate(self, zone: str, is_evacuated: bool = True) -> None:
         """Evacuate a zone, or end its evacuation."""
         sent_at = self.world.now
 
@@ -161,13 +161,13 @@
             nonlocal sent_at
             # The time counts from the change itself: the system's time bound does not include the read before it.
             sent_at = self.world.now
-            config['cells'].setdefault(cell, {}).update(evacuated=is_evacuated)
+            config['cells'].setdefault(zone, {}).update(evacuated=is_evacuated)
 
         def on_changed(status: int, document: dict) -> None:
             """Record the evacuation once it is acknowledged."""
             if status == 200:
                 self.deployment.records.evacuations.append(
-                    actor_records.Evacuation(sent_at, self.world.now, cell, is_evacuated)
+                    actor_records.Evacuation(sent_at, self.world.now, zone, is_evacuated)
                 )
 
         self.change(set_evacuated, on_changed)
--- a/zinctrail/simulation/actors/records.py
+++ b/zinctrail/simulation/actors/records.py
@@ -55,7 +55,7 @@
     is_unknown_target: bool
     address: str
     service: str
-    cell: str
+    zone: str
     home: list[str]
     # The number of running requests there including this one, and the endpoint's capacity.
     running: int
@@ -98,7 +98,7 @@
 
     sent_at: Time
     acknowledged_at: Time
-    cell: str
+    zone: str
     is_evacuated: bool
 
 
--- a/zinctrail/simulation/benchmarks/virtual.py
+++ b/zinctrail/simulation/benchmarks/virtual.py
@@ -78,7 +78,7 @@
         config['labels']['10.9.9.9:1'] = {'a': 'b'}
 
     def evacuate(config):
-        config['cells'][deployment.cells[0]]['evacuated'] = True
+        config['cells'][deployment.zones[0]]['evacuated'] = True
 
     def add_many_labels(config):
         addresses = (f'10.8.{number >> 8}.{number & 255}:1' for number in range(MANY_LABELS))
--- a/zinctrail/simulation/checkers/configuration.py
+++ b/zinctrail/simulation/checkers/configuration.py
@@ -26,12 +26,12 @@
 def is_allowed(config: dict, run: actor_records.Arrival) -> bool:
     """Whether this configuration lets a run of this service be at this endpoint."""
     labels = {
-        **(config['cells'].get(run.cell, {}).get('labels') or {}),
+        **(config['cells'].get(run.zone, {}).get('labels') or {}),
         **run.labels,
         **config['labels'].get(run.address, {}),
         'service': run.service,
-        'cell': run.cell,
-        'region': node_location.region_of(config['cells'], run.cell),
+        'cell': run.zone,
+        'region': node_location.region_of(config['cells'], run.zone),
     }
     rules = sorted(config['rules'].items(), key=lambda item: (item[1].get('order', 1000), item[0]))
     for _, rule in rules:
@@ -140,9 +140,9 @@
     cells = request_checkers.cells_of_proxies(deployment)
     passed = {(attempt.id, attempt.number): cells.get(attempt.proxy) for attempt in deployment.records.attempts}
     for evacuation, until in evacuations(deployment):
-        cell = evacuation.cell
+        cell = evacuation.zone
         for arrival in deployment.records.arrivals:
-            is_there = arrival.cell == cell or passed.get((arrival.id, arrival.attempt)) == cell
+            is_there = arrival.zone == cell or passed.get((arrival.id, arrival.attempt)) == cell
             is_late = arrival.at > evacuation.sent_at + EVACUATION_MOST
             if is_there and is_late and (until is None or arrival.at < until):
                 after = seconds(arrival.at - evacuation.sent_at)
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -71,7 +71,7 @@
         late = [
             arrival.at - evacuation.sent_at
             for arrival in deployment.records.arrivals
-            if arrival.cell == evacuation.cell
+            if arrival.zone == evacuation.zone
             and arrival.at > evacuation.sent_at
             and (until is None or arrival.at < until)
         ]
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -43,6 +43,6 @@
     """How long after its acknowledgement an evacuated zone was reached."""
     until = registry.taken_back_at(evacuation, deployment.records.evacuations) or deployment.world.now
     for arrival in deployment.records.arrivals:
-        is_there = arrival.cell == evacuation.cell and not arrival.is_misdirected
+        is_there = arrival.zone == evacuation.zone and not arrival.is_misdirected
         if is_there and evacuation.acknowledged_at < arrival.at < until:
             worst.add('evacuated_ms', durations.to_ms(arrival.at - evacuation.acknowledged_at))
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -267,8 +267,8 @@
     findings = []
     for arrival in deployment.records.arrivals:
         attempt = attempt_of(deployment, arrival)
-        if attempt and attempt.request.home and arrival.cell.split('/')[0] not in attempt.request.home:
-            findings.append(f'{arrival.id} of {attempt.request.home} reached {arrival.cell}')
+        if attempt and attempt.request.home and arrival.zone.split('/')[0] not in attempt.request.home:
+            findings.append(f'{arrival.id} of {attempt.request.home} reached {arrival.zone}')
     return findings
 
 
@@ -281,7 +281,7 @@
     regions = _calm_regions(deployment)
     findings = []
     for attempt in deployment.records.attempts:
-        if not attempt.request.home or attempt.proxy not in deployment.world.cells:
+        if not attempt.request.home or attempt.proxy not in deployment.world.zones:
             continue
         own_region = _client_region(deployment, attempt)
         if deployment.region_of(attempt.proxy) in (*attempt.request.home, own_region):
@@ -306,12 +306,12 @@
             troubles[deployment.region_of(event.name)].append(open_records.Span(event.at, event.until))
     for cut in deployment.records.cuts:
         for name in (cut.one, cut.other):
-            if name in deployment.world.cells:
+            if name in deployment.world.zones:
                 troubles[deployment.region_of(name)].append(open_records.Span(cut.begins_at, cut.ends_at))
     for evacuation in deployment.records.evacuations:
         until = registry.taken_back_at(evacuation, deployment.records.evacuations)
         if evacuation.is_evacuated:
-            troubles[evacuation.cell.split('/')[0]].append(open_records.Span(evacuation.sent_at, until))
+            troubles[evacuation.zone.split('/')[0]].append(open_records.Span(evacuation.sent_at, until))
     return CalmRegions(troubles)
 
 
@@ -335,14 +335,14 @@
         until = registry.taken_back_at(evacuation, deployment.records.evacuations)
         for arrival in deployment.records.arrivals:
             attempt = attempt_of(deployment, arrival)
-            if attempt is None or arrival.is_misdirected or arrival.cell != evacuation.cell:
+            if attempt is None or arrival.is_misdirected or arrival.zone != evacuation.zone:
                 continue
             if until and arrival.at >= until:
                 continue
             slack = deployment.contact.slack(attempt.proxy, arrival.at, evacuation.acknowledged_at)
             if slack is not None and arrival.at > evacuation.acknowledged_at + TERMS.evacuation + slack:
                 findings.append(
-                    f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation} in {evacuation.cell}'
+                    f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation} in {evacuation.zone}'
                     f' {seconds(arrival.at - evacuation.acknowledged_at)} after its evacuation was acknowledged'
                 )
     return findings
--- a/zinctrail/simulation/checkers/registry.py
+++ b/zinctrail/simulation/checkers/registry.py
@@ -65,7 +65,7 @@
     """What the notes of both kinds of days tell of an evacuation."""
 
     @property
-    def cell(self) -> str:
+    def zone(self) -> str:
         """The zone."""
 
     @property
@@ -82,7 +82,7 @@
     times = [
         other.sent_at
         for other in others
-        if other.cell == evacuation.cell and not other.is_evacuated and other.sent_at > evacuation.sent_at
+        if other.zone == evacuation.zone and not other.is_evacuated and other.sent_at > evacuation.sent_at
     ]
     return min(times, default=None)
 
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -181,10 +181,10 @@
     """A request with home regions runs, passes or is answered outside them."""
     findings = []
     cells = cells_of_proxies(deployment)
-    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.records.runs}
+    ran_in = {(run.id, run.incarnation): run.zone for run in deployment.records.runs}
     for arrival in deployment.records.arrivals:
-        if arrival.home and region_of(arrival.cell) not in arrival.home:
-            findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.cell}')
+        if arrival.home and region_of(arrival.zone) not in arrival.home:
+            findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.zone}')
     for attempt in deployment.records.attempts:
         if not attempt.home or attempt.outcome != 'ran':
             continue
--- a/zinctrail/simulation/cut_off/callers.py
+++ b/zinctrail/simulation/cut_off/callers.py
@@ -157,7 +157,7 @@
             'inc': f'beat-{self.name}',
             'addr': f'10.77.0.{1 + self.is_affected}:80',
             'service': 'search',
-            'cell': self.trial.deployment.cells[0],
+            'cell': self.trial.deployment.zones[0],
             'slots': 1,
             'state': 'ready',
             'seq': self.sequence,
--- a/zinctrail/simulation/cut_off/faults.py
+++ b/zinctrail/simulation/cut_off/faults.py
@@ -39,7 +39,7 @@
     zone = node.location.cell
     side = {node.name}
     side |= {proxy.name for proxy in world.of('prox') if proxy.location.cell == zone}
-    side |= {endpoint.name for endpoint in endpoints if endpoint.cell == zone}
+    side |= {endpoint.name for endpoint in endpoints if endpoint.zone == zone}
     for name in side:
         for other in [*world.nodes, *(endpoint.name for endpoint in endpoints)]:
             if other not in side:
--- a/zinctrail/simulation/days.py
+++ b/zinctrail/simulation/days.py
@@ -120,7 +120,7 @@
         deployment.operator.poll_status()
         deployment.start_callers(self.rate, wild=self.wild)
         # Some with home regions, since the rule about them needs such traffic.
-        for number, cell in enumerate(deployment.cells[:2]):
+        for number, cell in enumerate(deployment.zones[:2]):
             services = sorted(self.shape['services'])
             caller = caller_actor.Caller(deployment, f'home{number}', cell, services, 2, [cell.split('/')[0]])
             deployment.callers.append(caller)
--- a/zinctrail/simulation/faults/endpoints.py
+++ b/zinctrail/simulation/faults/endpoints.py
@@ -109,7 +109,7 @@
     service = scenario.rng.choice([name for name in scenario.shape['services'] if name != endpoint.service])
     endpoint.kill()
     new = endpoint_actor.Endpoint(
-        scenario.deployment, endpoint.name, endpoint.address, service, endpoint.cell, endpoint.slots
+        scenario.deployment, endpoint.name, endpoint.address, service, endpoint.zone, endpoint.slots
     )
     scenario.deployment.endpoints.append(new)
     scenario.later(gap, new.start)
--- a/zinctrail/simulation/faults/losses.py
+++ b/zinctrail/simulation/faults/losses.py
@@ -15,19 +15,19 @@
 
 def random_zone(scenario: simulated_scenario.Scenario) -> str:
     """Return the name of a random zone."""
-    return scenario.rng.choice(scenario.deployment.cells)
+    return scenario.rng.choice(scenario.deployment.zones)
 
 
-def region_of(cell: str) -> str:
+def region_of(zone: str) -> str:
     """Return the region of a zone."""
-    return cell.split('/')[0]
+    return zone.split('/')[0]
 
 
 @fault
 def cell_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A zone loses power for five seconds."""
     lost = random_zone(scenario)
-    _cut_power(scenario, lambda cell: cell == lost)
+    _cut_power(scenario, lambda zone: zone == lost)
     return ms(6000)
 
 
@@ -35,7 +35,7 @@
 def region_lost(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A region loses power for five seconds."""
     lost = region_of(random_zone(scenario))
-    _cut_power(scenario, lambda cell: region_of(cell) == lost)
+    _cut_power(scenario, lambda zone: region_of(zone) == lost)
     return ms(6000)
 
 
@@ -46,7 +46,7 @@
             node.kill(power=True)
             scenario.restart(node, ms(5000 + scenario.rng.uniform(0, 500)))
     for endpoint in scenario.deployment.endpoints:
-        if is_lost(endpoint.cell) and endpoint.up:
+        if is_lost(endpoint.zone) and endpoint.up:
             endpoint.kill()
             scenario.later(ms(5000 + scenario.rng.uniform(0, 1000)), endpoint.start)
 
@@ -55,7 +55,7 @@
 def region_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A region's machines are lost permanently, then one more control node if more than three remain."""
     lost = region_of(random_zone(scenario))
-    _destroy_zones(scenario, lambda cell: region_of(cell) == lost)
+    _destroy_zones(scenario, lambda zone: region_of(zone) == lost)
     control_nodes = [node for node in scenario.world.of('core') if not node.destroyed]
     if len(control_nodes) > 3:
         scenario.later(ms(8000), lambda: _destroy([scenario.rng.choice(control_nodes)]))
@@ -67,7 +67,7 @@
 def cell_for_good(scenario: simulated_scenario.Scenario) -> datetime.timedelta:
     """A zone's machines and endpoints are lost permanently."""
     lost = random_zone(scenario)
-    _destroy_zones(scenario, lambda cell: cell == lost)
+    _destroy_zones(scenario, lambda zone: zone == lost)
     return ms(1000)
 
 
@@ -83,7 +83,7 @@
     """Destroy the machines in the matching zones, and end the endpoints there."""
     _destroy([node for node in scenario.world.nodes.values() if is_lost(node.location.cell)])
     for endpoint in scenario.deployment.endpoints:
-        if is_lost(endpoint.cell) and endpoint.up:
+        if is_lost(endpoint.zone) and endpoint.up:
             endpoint.kill()
 
 
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -53,9 +53,9 @@
     orders = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
     for second in range(1, 20, 2):
         scenario.later(ms(1000) * second, scenario.rng.choice(orders), scenario)
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.later(ms(5000), scenario.deployment.operator.evacuate, cell)
-    scenario.later(ms(15000), scenario.deployment.operator.evacuate, cell, False)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.later(ms(5000), scenario.deployment.operator.evacuate, zone)
+    scenario.later(ms(15000), scenario.deployment.operator.evacuate, zone, False)
     # One change arrives just as the cut heals.
     scenario.later(LONG_CUT, open_operators.change_timeout, scenario)
     return LONG_CUT + ms(2000)
@@ -97,9 +97,9 @@
 def zone_cut(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A zone's machines and endpoints are cut off from those of other zones; clients still reach all of them."""
     world = scenario.world
-    cell = scenario.rng.choice(scenario.deployment.cells)
+    zone = scenario.rng.choice(scenario.deployment.zones)
     parties = [*world.nodes, *(endpoint.name for endpoint in scenario.deployment.endpoints if endpoint.up)]
-    inside = [name for name in parties if world.cells.get(name) == cell]
+    inside = [name for name in parties if world.zones.get(name) == zone]
     for name in inside:
         for other in parties:
             if other not in inside:
@@ -306,9 +306,9 @@
     for number in range(5):
         scenario.later(ms(1200) * number, open_operators.change_timeout, scenario)
         scenario.later(ms(1200) * number + ms(300), open_operators.race, scenario)
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.later(ms(2000), scenario.deployment.operator.evacuate, cell)
-    scenario.later(ms(6500), open_operator.Operator(scenario.deployment, 'op1').evacuate, cell, False)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.later(ms(2000), scenario.deployment.operator.evacuate, zone)
+    scenario.later(ms(6500), open_operator.Operator(scenario.deployment, 'op1').evacuate, zone, False)
     return ms(10000)
 
 
--- a/zinctrail/simulation/faults/open_endpoints.py
+++ b/zinctrail/simulation/faults/open_endpoints.py
@@ -106,7 +106,7 @@
 
 def _replace(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
     """Start a replacement for an endpoint, and drain the old one half a second later."""
-    scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start()
+    scenario.deployment.add_endpoint(endpoint.service, endpoint.zone).start()
     scenario.later(ms(500), endpoint.drain)
 
 
@@ -130,9 +130,9 @@
 def reuse_address(scenario: 'open_days.Scenario', endpoint: open_endpoint.Endpoint) -> None:
     """Start an endpoint of another service at an endpoint's address, after the platform's minimum time for reuse."""
     service = scenario.rng.choice([name for name in sorted(terms.SERVICES) if name != endpoint.service])
-    new_endpoint = scenario.deployment.add_endpoint(service, endpoint.cell, endpoint.address)
+    new_endpoint = scenario.deployment.add_endpoint(service, endpoint.zone, endpoint.address)
     # A new endpoint of the same service takes over the work.
-    scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start()
+    scenario.deployment.add_endpoint(endpoint.service, endpoint.zone).start()
     scenario.later(terms.TERMS.reuse, new_endpoint.start)
 
 
@@ -147,8 +147,8 @@
 @fault
 def cold_return(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All endpoints of a zone crash and restart together, and need to warm up."""
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    for endpoint in [each for each in scenario.deployment.endpoints if each.cell == cell and each.up]:
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    for endpoint in [each for each in scenario.deployment.endpoints if each.zone == zone and each.up]:
         endpoint.kill()
         scenario.later(ms(4000 + scenario.rng.uniform(0, 300)), endpoint.start)
     return ms(8000)
--- a/zinctrail/simulation/faults/open_operators.py
+++ b/zinctrail/simulation/faults/open_operators.py
@@ -244,17 +244,17 @@
 
 def _evacuate(scenario: 'open_days.Scenario', warms_up: bool) -> datetime.timedelta:
     """Evacuate a random zone, and end the evacuation about nine seconds later."""
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.deployment.operator.evacuate(cell)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.deployment.operator.evacuate(zone)
 
     def end_evacuation() -> None:
         """Start the endpoints' warm-up if requested, and end the evacuation soon after."""
         if warms_up:
             # The warm-up starts before the evacuation ends, since endpoints cool down while they are idle.
             for endpoint in scenario.deployment.endpoints:
-                if endpoint.up and endpoint.cell == cell:
+                if endpoint.up and endpoint.zone == zone:
                     endpoint.start_warm_up()
-        scenario.later(ms(scenario.rng.choice((100, 1000))), scenario.deployment.operator.evacuate, cell, False)
+        scenario.later(ms(scenario.rng.choice((100, 1000))), scenario.deployment.operator.evacuate, zone, False)
 
     scenario.later(ms(9000), end_evacuation)
     return ms(13000)
--- a/zinctrail/simulation/faults/open_unhealthy_endpoints.py
+++ b/zinctrail/simulation/faults/open_unhealthy_endpoints.py
@@ -117,8 +117,8 @@
 @fault
 def cold_return_dark(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """All endpoints of a zone end silently and restart together, and need to warm up."""
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    for endpoint in [endpoint for endpoint in scenario.deployment.endpoints if endpoint.cell == cell and endpoint.up]:
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    for endpoint in [endpoint for endpoint in scenario.deployment.endpoints if endpoint.zone == zone and endpoint.up]:
         end_silently_for(scenario, endpoint, endpoint.start)
     return ms(7000)
 
@@ -140,7 +140,7 @@
         endpoint.drain()
         scenario.later(TERMINATION_NOTICE, endpoint.kill)
         scenario.later(
-            TERMINATION_NOTICE + ms(4000), scenario.deployment.add_endpoint(endpoint.service, endpoint.cell).start
+            TERMINATION_NOTICE + ms(4000), scenario.deployment.add_endpoint(endpoint.service, endpoint.zone).start
         )
     return ms(8000)
 
@@ -152,6 +152,6 @@
     for number in range(3):
         scenario.later(
             ms(700) * number,
-            scenario.deployment.add_endpoint(service, scenario.rng.choice(scenario.deployment.cells)).start,
+            scenario.deployment.add_endpoint(service, scenario.rng.choice(scenario.deployment.zones)).start,
         )
     return ms(4000)
--- a/zinctrail/simulation/faults/operators.py
+++ b/zinctrail/simulation/faults/operators.py
@@ -21,9 +21,9 @@
 @fault
 def evacuate(scenario: 'days.Scenario') -> datetime.timedelta:
     """A zone is evacuated, and the evacuation ends ten seconds later."""
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.deployment.operator.evacuate(cell)
-    scenario.later(ms(10000), scenario.deployment.operator.evacuate, cell, False)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.deployment.operator.evacuate(zone)
+    scenario.later(ms(10000), scenario.deployment.operator.evacuate, zone, False)
     return ms(14000)
 
 
@@ -80,10 +80,10 @@
 def move_pool(scenario: 'days.Scenario') -> datetime.timedelta:
     """A pool's selector changes from all zones to one zone and back."""
     service = scenario.rng.choice(sorted(scenario.shape['services']))
-    cells = {endpoint.cell for endpoint in scenario.deployment.endpoints if endpoint.service == service}
-    cell = scenario.rng.choice(sorted(cells))
+    zones = {endpoint.zone for endpoint in scenario.deployment.endpoints if endpoint.service == service}
+    zone = scenario.rng.choice(sorted(zones))
     operator = scenario.deployment.operator
-    operator.change(lambda config: config['pools'][service].update(selector={'cell': cell}))
+    operator.change(lambda config: config['pools'][service].update(selector={'cell': zone}))
     scenario.later(ms(8000), operator.change, lambda config: config['pools'][service].pop('selector', None))
     return ms(11000)
 
--- a/zinctrail/simulation/faults/stale_views.py
+++ b/zinctrail/simulation/faults/stale_views.py
@@ -22,14 +22,14 @@
     scenario: 'days.Scenario', length: datetime.timedelta = CUT_SPAN
 ) -> tuple[str, endpoint_actor.Endpoint]:
     """Cut a proxy off; return its zone and an endpoint, preferably in that zone, whose service needs no claims."""
-    cell = network_faults.cut_proxy_off(scenario, length).location.cell
+    zone = network_faults.cut_proxy_off(scenario, length).location.cell
     endpoints = [
         endpoint
         for endpoint in scenario.deployment.endpoints
         if endpoint.up and endpoint.service not in scenario.shape['once']
     ]
     anywhere = (endpoints or scenario.deployment.endpoints)[0]
-    return cell, next((endpoint for endpoint in endpoints if endpoint.cell == cell), anywhere)
+    return zone, next((endpoint for endpoint in endpoints if endpoint.zone == zone), anywhere)
 
 
 @fault
@@ -61,8 +61,8 @@
 @fault
 def stale_move(scenario: 'days.Scenario') -> datetime.timedelta:
     """The pool of an endpoint near the cut-off proxy moves to another region."""
-    cell, endpoint = cut_off_near_endpoint(scenario)
-    far = next(other for other in scenario.deployment.cells if other.split('/')[0] != cell.split('/')[0])
+    zone, endpoint = cut_off_near_endpoint(scenario)
+    far = next(other for other in scenario.deployment.zones if other.split('/')[0] != zone.split('/')[0])
     operator = scenario.deployment.operator
     operator.change(lambda config: config['pools'][endpoint.service].update(selector={'cell': far}))
     scenario.later(ms(9000), operator.change, lambda config: config['pools'][endpoint.service].pop('selector', None))
@@ -72,7 +72,7 @@
 @fault
 def stale_evacuate(scenario: 'days.Scenario') -> datetime.timedelta:
     """The zone of the cut-off proxy is evacuated."""
-    cell, _ = cut_off_near_endpoint(scenario)
-    scenario.deployment.operator.evacuate(cell)
-    scenario.later(ms(9000), scenario.deployment.operator.evacuate, cell, False)
+    zone, _ = cut_off_near_endpoint(scenario)
+    scenario.deployment.operator.evacuate(zone)
+    scenario.later(ms(9000), scenario.deployment.operator.evacuate, zone, False)
     return ms(12000)
--- a/zinctrail/simulation/open_actors/application.py
+++ b/zinctrail/simulation/open_actors/application.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, deployment: 'open_deployment.Deployment', name: str, cell: str, every: datetime.timedelta = ms(150)
+        self, deployment: 'open_deployment.Deployment', name: str, zone: str, every: datetime.timedelta = ms(150)
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
@@ -42,7 +42,7 @@
         self.on = False
         # The number of values put so far; it makes each value unique.
         self.written = 0
-        self.world.cells[name] = cell
+        self.world.zones[name] = zone
 
     def start(self) -> None:
         """Start all five loops; each ends once the application is switched off."""
--- a/zinctrail/simulation/open_actors/client.py
+++ b/zinctrail/simulation/open_actors/client.py
@@ -43,12 +43,12 @@
     """
 
     def __init__(
-        self, deployment: 'open_deployment.Deployment', name: str, cell: str, rate: float, validity_factor: int = 1
+        self, deployment: 'open_deployment.Deployment', name: str, zone: str, rate: float, validity_factor: int = 1
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
         self.name = name
-        self.cell = cell
+        self.zone = zone
         self.rate = rate
         self.validity_factor = validity_factor
         self.rng = random.Random(f'{self.world.seed}/{name}')
@@ -62,7 +62,7 @@
         self.abandon_timeout: datetime.timedelta | None = None
         self.sent = 0
         self.on = False
-        self.world.cells[name] = cell
+        self.world.zones[name] = zone
 
     def start(self) -> None:
         """Look up the ingresses of each host, and send the first request soon after."""
@@ -76,9 +76,9 @@
         lookup = self.lookups.setdefault(host, Lookup())
         lookup.is_asking = True
         nodes = self.world.of('core')
-        near = [node for node in nodes if node.location.cell == self.cell]
+        near = [node for node in nodes if node.location.cell == self.zone]
         node = self.rng.choice(near if near and attempts == LOOKUP_ATTEMPTS else nodes)
-        body = json.dumps({'cell': self.cell, 'front': True, 'most': 64, 'host': host}).encode()
+        body = json.dumps({'cell': self.zone, 'front': True, 'most': 64, 'host': host}).encode()
         deferred = self.world.fetch(self.name, node.location.http, 'POST', '/v1/answer', {}, body, LOOKUP_TIMEOUT)
 
         def on_response(result: effects.HttpResult) -> None:
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -51,7 +51,7 @@
         self.world = world
         self.shape = shape
         self.records = world.records
-        self.cells = deployments.zones_of(shape)
+        self.zones = deployments.zones_of(shape)
         self.endpoints: list[open_endpoint.Endpoint] = []
         self.clients: list[open_client.Client] = []
         self.applications: list[open_application.Application] = []
@@ -66,8 +66,8 @@
         for role, count in (('core', shape['cores']), ('prox', shape['proxies'])):
             for number in range(count):
                 name = f'{role}{number}'
-                cell = self.zone_at(number)
-                world.add(name, role, cell, front=role == 'prox', directory=role == 'core')
+                zone = self.zone_at(number)
+                world.add(name, role, zone, front=role == 'prox', directory=role == 'core')
         self.seeds = [world.nodes[f'core{i}'].location.addr for i in range(3)]
         for node in world.nodes.values():
             node.location.seeds = list(self.seeds)
@@ -80,17 +80,17 @@
 
     def zone_at(self, number: int) -> str:
         """Return the name of the zone at an index; the index wraps around."""
-        return self.cells[number % len(self.cells)]
+        return self.zones[number % len(self.zones)]
 
     def region_of(self, name: str) -> str:
         """Return the region of a process, endpoint or user."""
-        return self.world.cells[name].split('/')[0]
+        return self.world.zones[name].split('/')[0]
 
-    def add_endpoint(self, service: str, cell: str, address: str | None = None) -> open_endpoint.Endpoint:
+    def add_endpoint(self, service: str, zone: str, address: str | None = None) -> open_endpoint.Endpoint:
         """Add an endpoint that is not started yet."""
         number = len(self.endpoints) + 1
         address = address or f'10.9.{number >> 8}.{number & 255}:80'
-        endpoint = open_endpoint.Endpoint(self, f'end{number}', address, service, cell, self.shape['slots'])
+        endpoint = open_endpoint.Endpoint(self, f'end{number}', address, service, zone, self.shape['slots'])
         self.endpoints.append(endpoint)
         return endpoint
 
@@ -276,9 +276,9 @@
     def start_clients(self, rate: float | None = None) -> None:
         """Start clients in each zone that together send `rate` requests per second."""
         rate = rate or self.shape['rate']
-        count = len(self.cells) * CLIENTS_PER_ZONE
+        count = len(self.zones) * CLIENTS_PER_ZONE
         for number in range(count):
-            validity_factor = CLIENT_VALIDITY_FACTORS[number // len(self.cells)]
+            validity_factor = CLIENT_VALIDITY_FACTORS[number // len(self.zones)]
             client = open_client.Client(self, f'client{number}', self.zone_at(number), rate / count, validity_factor)
             self.clients.append(client)
             client.start()
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -42,14 +42,14 @@
     """A server of one service at one address; each start is a new incarnation."""
 
     def __init__(
-        self, deployment: 'open_deployment.Deployment', name: str, address: str, service: str, cell: str, slots: int
+        self, deployment: 'open_deployment.Deployment', name: str, address: str, service: str, zone: str, slots: int
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
         self.name = name
         self.address = address
         self.service = service
-        self.cell = cell
+        self.zone = zone
         self.slots = slots
         self.max_queue_length = slots * 4
         # incarnation counts starts and ends; incarnation_id identifies the incarnation in heartbeats and requests.
@@ -72,7 +72,7 @@
         self.reports_unhealthy = False
         # How long a connection may be idle before the endpoint drops it without notice.
         self.idle_limit: datetime.timedelta | None = None
-        self.world.cells[name] = cell
+        self.world.zones[name] = zone
 
     # -- lifecycle ---------------------------------------------------------------
 
@@ -132,7 +132,7 @@
             'inc': self.incarnation_id,
             'addr': self.address,
             'service': self.service,
-            'cell': self.cell,
+            'cell': self.zone,
             'slots': self.slots,
             'state': self.state,
             'seq': self.sequence,
@@ -211,7 +211,7 @@
             incarnation=self.incarnation_id,
             target_incarnation=headers.get('zt-inc'),
             service=self.service,
-            cell=self.cell,
+            zone=self.zone,
             method=call.method,
             path=call.path,
             body=call.body,
--- a/zinctrail/simulation/open_actors/operator.py
+++ b/zinctrail/simulation/open_actors/operator.py
@@ -71,11 +71,11 @@
 
         self.deployment.ask(self.name, 'PATCH', '/v1/items', lambda: raw, on_response, length, final=CHANGE_FINAL)
 
-    def evacuate(self, cell: str, is_evacuated: bool = True) -> None:
+    def evacuate(self, zone: str, is_evacuated: bool = True) -> None:
         """Evacuate a zone, or end its evacuation."""
-        evacuation = open_records.Evacuation(cell, is_evacuated, sent_at=self.world.now)
+        evacuation = open_records.Evacuation(zone, is_evacuated, sent_at=self.world.now)
         self.deployment.records.evacuations.append(evacuation)
-        command = self.record_command(f'empty {cell} {is_evacuated}')
+        command = self.record_command(f'empty {zone} {is_evacuated}')
 
         def on_response(response: 'open_deployment.Response') -> None:
             """Record the status, and the evacuation once it is acknowledged."""
@@ -89,7 +89,7 @@
             self.name,
             'POST',
             '/v1/cell/empty',
-            lambda: {'cell': cell, 'on': is_evacuated},
+            lambda: {'cell': zone, 'on': is_evacuated},
             on_response,
             terms.TERMS.ack,
         )
--- a/zinctrail/simulation/open_actors/records.py
+++ b/zinctrail/simulation/open_actors/records.py
@@ -69,7 +69,7 @@
     incarnation: str
     target_incarnation: str | None
     service: str
-    cell: str
+    zone: str
     method: str
     path: str
     body: bytes
@@ -153,7 +153,7 @@
 class Evacuation:
     """A command to evacuate a zone or to end its evacuation."""
 
-    cell: str
+    zone: str
     is_evacuated: bool
     sent_at: Time
     acknowledged_at: Time | None = None
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -30,20 +30,20 @@
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
         # The zone of each process, endpoint and user, by its name.
-        self.cells: dict[str, str] = {}
+        self.zones: dict[str, str] = {}
         self.records = open_records.Records()
         # The cuts that are not healed, by (source, target).
         self.open_cuts: dict[tuple[str, str], open_records.Cut] = {}
 
     def add(self, name: str, role: str, cell: str, *args, **kwargs) -> simulated_node.Node:
         """Add a node that is not started yet, and record its zone."""
-        self.cells[name] = cell
+        self.zones[name] = cell
         return super().add(name, role, cell, *args, **kwargs)
 
     def distance(self, source: str, target: str) -> datetime.timedelta:
         """Return the added one-way latency between the zones of two parties."""
-        here = self.cells.get(source)
-        there = self.cells.get(target)
+        here = self.zones.get(source)
+        there = self.zones.get(target)
         if here is None or there is None or here == there:
             return durations.ZERO
         is_same_region = here.split('/')[0] == there.split('/')[0]
--- a/zinctrail/simulation/orders/evacuations.py
+++ b/zinctrail/simulation/orders/evacuations.py
@@ -22,7 +22,7 @@
 
     def start(self) -> None:
         """Start the operators of all zones."""
-        for zone in self.deployment.cells:
+        for zone in self.deployment.zones:
             self.evacuate(zone, True)
 
     def evacuate(self, zone: str, is_evacuated: bool) -> None:
@@ -52,5 +52,6 @@
         row = leader.machine.replica.latest('cells', zone) or {}
         if bool(row.get('emptied')) != is_evacuated:
             self.violations.append(
-                f'{zone}: evacuated={is_evacuated} was acknowledged last, {not is_evacuated} in force at {self.world.now}'
+                f'{zone}: evacuated={is_evacuated} was acknowledged last, {not is_evacuated} is in force'
+                f' at {self.world.now}'
             )
