--- a/zinctrail/simulation/actors/endpoint.py
+++ b/zinctrail/simulation/actors/endpoint.py
@@ -144,7 +144,7 @@
         if result.status == 200 and state != 'ready':
             records.states.append(actor_records.StateChange(now, sent_at, sent_by, state))
         if result.status == 410 and self.admission.incarnation == sent_by:
-            records.gone.setdefault(sent_by, now)
+            records.removed.setdefault(sent_by, now)
             self.admission.start_incarnation()
             self.incarnations.add(self.admission.incarnation)
         if result.status != 200:
--- a/zinctrail/simulation/actors/operator.py
+++ b/zinctrail/simulation/actors/operator.py
@@ -146,7 +146,7 @@
             if status == 200:
                 listed = set(document['state']['endpoints'])
                 for incarnation in seen - listed:
-                    self.deployment.records.gone.setdefault(incarnation, self.world.now)
+                    self.deployment.records.removed.setdefault(incarnation, self.world.now)
                 seen.update(listed)
             self.world.after(every, self.poll_status, seen)
 
--- a/zinctrail/simulation/actors/records.py
+++ b/zinctrail/simulation/actors/records.py
@@ -150,7 +150,7 @@
         self.runs: list[Arrival] = []
         self.states: list[StateChange] = []
         # When an incarnation was first missing from the status page, or was told by a 410 that it was removed.
-        self.gone: dict[str, Time] = {}
+        self.removed: dict[str, Time] = {}
         self.applies: list[Apply] = []
         self.reads: list[Read] = []
         self.evacuations: list[Evacuation] = []
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -36,7 +36,7 @@
     records = deployment.records
     drained = request_checkers.drained_at(deployment)
     for arrival in records.arrivals:
-        for name, times in (('drained_ms', drained), ('gone_ms', records.gone)):
+        for name, times in (('drained_ms', drained), ('gone_ms', records.removed)):
             at = times.get(arrival.target_incarnation)
             if at is not None and arrival.at > at:
                 worst.add(name, durations.to_ms(arrival.at - at))
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -88,7 +88,7 @@
 @check('gone-reached')
 def gone_reached(deployment: client_deployment.Deployment) -> list[str]:
     """From when the status page or a 410 says that an incarnation is gone; it may well live on."""
-    return reached_since(deployment, deployment.records.gone, 'it was declared gone')
+    return reached_since(deployment, deployment.records.removed, 'it was declared gone')
 
 
 def reached_since(
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -50,9 +50,9 @@
         scenario.miss('core_cut_leader_long')
         return ms(0)
     cut_off(scenario, leader, LONG_CUT)
-    orders = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
+    changes = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
     for second in range(1, 20, 2):
-        scenario.later(ms(1000) * second, scenario.rng.choice(orders), scenario)
+        scenario.later(ms(1000) * second, scenario.rng.choice(changes), scenario)
     zone = scenario.rng.choice(scenario.deployment.zones)
     scenario.later(ms(5000), scenario.deployment.operator.evacuate, zone)
     scenario.later(ms(15000), scenario.deployment.operator.evacuate, zone, False)
@@ -299,8 +299,8 @@
 @fault
 def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Most acknowledgements to operators are lost, and each command is resent until one arrives."""
-    for who in OPERATORS:
-        scenario.world.reply_loss[who] = 0.7
+    for operator_name in OPERATORS:
+        scenario.world.reply_loss[operator_name] = 0.7
     scenario.deployment.records.ack_losses.append(open_records.Span(scenario.world.now, scenario.world.now + ms(8000)))
     scenario.later(ms(8000), end_response_losses, scenario)
     for number in range(5):
@@ -314,5 +314,5 @@
 
 def end_response_losses(scenario: 'open_days.Scenario') -> None:
     """End the loss of responses to operators."""
-    for who in OPERATORS:
-        scenario.world.reply_loss.pop(who, None)
+    for operator_name in OPERATORS:
+        scenario.world.reply_loss.pop(operator_name, None)
--- a/zinctrail/simulation/faults/open_endpoints.py
+++ b/zinctrail/simulation/faults/open_endpoints.py
@@ -82,7 +82,7 @@
     """End an endpoint silently: its connections stay open, and no response arrives on them."""
     for node in scenario.world.nodes:
         scenario.world.cut(endpoint.name, node)
-    endpoint.kill(dark=True)
+    endpoint.kill(silently=True)
     # Its address stays registered: a silent machine does not refuse connections.
     scenario.world.endpoints[endpoint.address] = endpoint
 
--- a/zinctrail/simulation/faults/operators.py
+++ b/zinctrail/simulation/faults/operators.py
@@ -32,11 +32,11 @@
     """Callers retry a request id with home regions that differ from those of its first attempt."""
     for caller in scenario.deployment.callers:
         for _ in range(12):
-            scenario.later(ms(scenario.rng.uniform(0, 6000)), _repeat_with_other_homes, scenario, caller)
+            scenario.later(ms(scenario.rng.uniform(0, 6000)), _retry_with_other_homes, scenario, caller)
     return ms(8000)
 
 
-def _repeat_with_other_homes(scenario: 'days.Scenario', caller: caller_actor.Caller) -> None:
+def _retry_with_other_homes(scenario: 'days.Scenario', caller: caller_actor.Caller) -> None:
     """Send three attempts of one request id directly to proxies, each with a random home region."""
     if not caller.library.lookup_result:
         return
--- a/zinctrail/simulation/open_actors/deployment.py
+++ b/zinctrail/simulation/open_actors/deployment.py
@@ -108,7 +108,7 @@
 
     def ask(
         self,
-        who: str,
+        caller: str,
         method: str,
         path: str,
         body: typing.Callable[[], bytes | dict | None],
@@ -136,7 +136,7 @@
             made = body()
             raw = made if isinstance(made, bytes) else json.dumps(made).encode() if made is not None else b''
             sent_at = world.now
-            deferred = world.fetch(who, node.location.http, method, path, {}, raw, wait)
+            deferred = world.fetch(caller, node.location.http, method, path, {}, raw, wait)
             deferred.addCallback(on_response, node.name, sent_at)
 
         def on_response(result: effects.HttpResult, node: str, sent_at: datetime.timedelta) -> None:
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -76,7 +76,7 @@
 
     # -- lifecycle ---------------------------------------------------------------
 
-    def start(self, cold: bool = True) -> None:
+    def start(self, warms_up: bool = True) -> None:
         """Start a new incarnation, unless the endpoint is up."""
         if self.up:
             return
@@ -92,7 +92,7 @@
         self.open: dict[str | None, typing.Callable] = {}
         self.work: dict[str | None, open_records.Work] = {}
         self.warm_up_ends_at = self.world.now
-        if cold:
+        if warms_up:
             self.start_warm_up()
         self.world.endpoints[self.address] = self
         self.send_heartbeat(self.incarnation)
@@ -104,8 +104,8 @@
             open_records.WarmUpSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
         )
 
-    def kill(self, dark: bool = False) -> None:
-        """End at once. With `dark`, connections stay open and silent instead of being closed."""
+    def kill(self, silently: bool = False) -> None:
+        """End at once. With `silently`, connections stay open and silent instead of being closed."""
         if not self.up:
             return
         self.up = False
@@ -116,7 +116,7 @@
         for work in self.work.values():
             work.ended_at = self.world.now
         for callback in list(self.open.values()):
-            if not dark:
+            if not silently:
                 callback(effects.HttpResult(fault='connection lost'))
 
     # -- heartbeats -----------------------------------------------------------
@@ -288,9 +288,9 @@
         random_work = ms(self.work_ms * factor * world.rng.lognormvariate(*WORK_FACTOR_DISTRIBUTION))
         work = min(random_work, ms(self.work_ms * MAX_WORK_FACTOR))
         remaining = ms(int(headers.get('zt-left-ms', DEFAULT_REMAINING_MS)))
-        noted = open_records.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
-        self.work[arrival.id] = noted
-        self.deployment.records.work.append(noted)
+        work_record = open_records.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
+        self.work[arrival.id] = work_record
+        self.deployment.records.work.append(work_record)
         world.after(min(work, remaining), self.finish, self.incarnation, arrival, callback, work > remaining)
         return arrival.id
 
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -53,9 +53,9 @@
         """Cut a link as simulation.network does, and record the cut."""
         super().cut(source, target, both)
         if (source, target) not in self.open_cuts:
-            noted = open_records.Cut(source, target, self.now)
-            self.open_cuts[source, target] = noted
-            self.records.cuts.append(noted)
+            cut = open_records.Cut(source, target, self.now)
+            self.open_cuts[source, target] = cut
+            self.records.cuts.append(cut)
 
     def heal(self, *names: str) -> None:
         """Heal links as simulation.network does, and record when each cut ended."""
