--- a/zinctrail/simulation/open_actors/records.py
+++ b/zinctrail/simulation/open_actors/records.py
@@ -32,12 +32,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One attempt of a request: the ingress that it was sent to, and the response."""
+    """One attempt of a request: the proxy that it was sent to, and the response."""
 
     id: str
     request: Request
     proxy: str
-    # The incarnation count of the proxy process behind the ingress.
+    # The incarnation count of the proxy's process.
     proxy_incarnation: int
     sent_at: Time
     responded_at: Time | None = None
@@ -45,7 +45,7 @@
     fault: str | None = None
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     response_body: bytes = b''
-    # Whether any of it may have reached the ingress.
+    # Whether any of it may have reached the proxy.
     was_sent: bool | None = None
     # When the client abandoned it before its deadline and closed the connection.
     abandoned_at: Time | None = None
@@ -83,7 +83,7 @@
 
     id: str | None
     incarnation: str
-    # When the work ends unless it is aborted, and when it did end; None while it runs.
+    # When the work ends unless it is aborted, and when it was recorded as ended: later, or None if it never was.
     until: Time
     ended_at: Time | None = None
 
