--- a/zinctrail/simulation/checkers/configuration.py
+++ b/zinctrail/simulation/checkers/configuration.py
@@ -26,12 +26,12 @@
 def is_allowed(config: dict, run: actor_records.Arrival) -> bool:
     """True if this configuration routes the request's service to the endpoint that ran it."""
     labels = {
-        **(config['cells'].get(run.cell, {}).get('labels') or {}),
+        **(config['cells'].get(run.zone, {}).get('labels') or {}),
         **run.labels,
         **config['labels'].get(run.address, {}),
         'service': run.service,
-        'cell': run.cell,
-        'region': node_location.region_of(config['cells'], run.cell),
+        'cell': run.zone,
+        'region': node_location.region_of(config['cells'], run.zone),
     }
     rules = sorted(config['rules'].items(), key=lambda item: (item[1].get('order', 1000), item[0]))
     for _, rule in rules:
@@ -147,9 +147,9 @@
     zones = request_checkers.zones_of_proxies(deployment)
     proxy_zones = {(attempt.id, attempt.number): zones.get(attempt.proxy) for attempt in deployment.records.attempts}
     for evacuation, until in evacuations(deployment):
-        zone = evacuation.cell
+        zone = evacuation.zone
         for arrival in deployment.records.arrivals:
-            is_in_zone = arrival.cell == zone or proxy_zones.get((arrival.id, arrival.attempt)) == zone
+            is_in_zone = arrival.zone == zone or proxy_zones.get((arrival.id, arrival.attempt)) == zone
             is_late = arrival.at > evacuation.sent_at + MAX_EVACUATION_DELAY
             if is_in_zone and is_late and (until is None or arrival.at < until):
                 after = seconds(arrival.at - evacuation.sent_at)
--- a/zinctrail/simulation/checkers/figures.py
+++ b/zinctrail/simulation/checkers/figures.py
@@ -36,7 +36,7 @@
     records = deployment.records
     drained = request_checkers.drained_at(deployment)
     for arrival in records.arrivals:
-        for name, times in (('drained_ms', drained), ('gone_ms', records.gone)):
+        for name, times in (('drained_ms', drained), ('gone_ms', records.removed)):
             at = times.get(arrival.target_incarnation)
             if at is not None and arrival.at > at:
                 maxima.add(name, durations.to_ms(arrival.at - at))
@@ -74,7 +74,7 @@
         delays = [
             arrival.at - evacuation.sent_at
             for arrival in deployment.records.arrivals
-            if arrival.cell == evacuation.cell
+            if arrival.zone == evacuation.zone
             and arrival.at > evacuation.sent_at
             and (until is None or arrival.at < until)
         ]
--- a/zinctrail/simulation/checkers/open_figures.py
+++ b/zinctrail/simulation/checkers/open_figures.py
@@ -45,6 +45,6 @@
     """Add how long after the acknowledgement of its evacuation a zone was reached."""
     until = registry.taken_back_at(evacuation, deployment.records.evacuations) or deployment.world.now
     for arrival in deployment.records.arrivals:
-        is_in_zone = arrival.cell == evacuation.cell and not arrival.is_misdirected
+        is_in_zone = arrival.zone == evacuation.zone and not arrival.is_misdirected
         if is_in_zone and evacuation.acknowledged_at < arrival.at < until:
             maxima.add('evacuated_ms', durations.to_ms(arrival.at - evacuation.acknowledged_at))
--- a/zinctrail/simulation/checkers/open_requests.py
+++ b/zinctrail/simulation/checkers/open_requests.py
@@ -271,8 +271,8 @@
     findings = []
     for arrival in deployment.records.arrivals:
         attempt = attempt_of(deployment, arrival)
-        if attempt and attempt.request.home and arrival.cell.split('/')[0] not in attempt.request.home:
-            findings.append(f'{arrival.id} of {attempt.request.home} reached {arrival.cell}')
+        if attempt and attempt.request.home and arrival.zone.split('/')[0] not in attempt.request.home:
+            findings.append(f'{arrival.id} of {attempt.request.home} reached {arrival.zone}')
     return findings
 
 
@@ -285,7 +285,7 @@
     regions = _region_disturbances(deployment)
     findings = []
     for attempt in deployment.records.attempts:
-        if not attempt.request.home or attempt.proxy not in deployment.world.cells:
+        if not attempt.request.home or attempt.proxy not in deployment.world.zones:
             continue
         own_region = _client_region(deployment, attempt)
         if deployment.region_of(attempt.proxy) in (*attempt.request.home, own_region):
@@ -310,12 +310,12 @@
             disturbances[deployment.region_of(event.name)].append(open_records.Span(event.at, event.until))
     for cut in deployment.records.cuts:
         for name in (cut.one, cut.other):
-            if name in deployment.world.cells:
+            if name in deployment.world.zones:
                 disturbances[deployment.region_of(name)].append(open_records.Span(cut.begins_at, cut.ends_at))
     for evacuation in deployment.records.evacuations:
         until = registry.taken_back_at(evacuation, deployment.records.evacuations)
         if evacuation.is_evacuated:
-            disturbances[evacuation.cell.split('/')[0]].append(open_records.Span(evacuation.sent_at, until))
+            disturbances[evacuation.zone.split('/')[0]].append(open_records.Span(evacuation.sent_at, until))
     return RegionDisturbances(disturbances)
 
 
@@ -339,14 +339,14 @@
         until = registry.taken_back_at(evacuation, deployment.records.evacuations)
         for arrival in deployment.records.arrivals:
             attempt = attempt_of(deployment, arrival)
-            if attempt is None or arrival.is_misdirected or arrival.cell != evacuation.cell:
+            if attempt is None or arrival.is_misdirected or arrival.zone != evacuation.zone:
                 continue
             if until and arrival.at >= until:
                 continue
             slack = deployment.contact.slack(attempt.proxy, arrival.at, evacuation.acknowledged_at)
             if slack is not None and arrival.at > evacuation.acknowledged_at + TERMS.evacuation + slack:
                 findings.append(
-                    f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation} in {evacuation.cell}'
+                    f'{arrival.id} by {attempt.proxy} reached {arrival.incarnation} in {evacuation.zone}'
                     f' {seconds(arrival.at - evacuation.acknowledged_at)} after its evacuation was acknowledged'
                 )
     return findings
--- a/zinctrail/simulation/checkers/requests.py
+++ b/zinctrail/simulation/checkers/requests.py
@@ -94,7 +94,7 @@
 
     An incarnation is removed once the status page or a 410 says so; its process may still run.
     """
-    return reached_since(deployment, deployment.records.gone, 'it was removed')
+    return reached_since(deployment, deployment.records.removed, 'it was removed')
 
 
 def reached_since(
@@ -191,10 +191,10 @@
     """A request with home regions runs outside them, passes a proxy outside them, or gets a response from outside."""
     findings = []
     zones = zones_of_proxies(deployment)
-    ran_in = {(run.id, run.incarnation): run.cell for run in deployment.records.runs}
+    ran_in = {(run.id, run.incarnation): run.zone for run in deployment.records.runs}
     for arrival in deployment.records.arrivals:
-        if arrival.home and region_of(arrival.cell) not in arrival.home:
-            findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.cell}')
+        if arrival.home and region_of(arrival.zone) not in arrival.home:
+            findings.append(f'{arrival.id} of {arrival.home} ran in {arrival.zone}')
     for attempt in deployment.records.attempts:
         if not attempt.home or attempt.outcome != 'ran':
             continue
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -50,12 +50,12 @@
         scenario.record_ineffective('core_cut_leader_long')
         return ms(0)
     cut_off(scenario, leader, LONG_CUT)
-    orders = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
+    changes = (open_operators.change_timeout, open_operators.move, open_operators.race, open_operators.add_and_drop)
     for second in range(1, 20, 2):
-        scenario.later(ms(1000) * second, scenario.rng.choice(orders), scenario)
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.later(ms(5000), scenario.deployment.operator.evacuate, cell)
-    scenario.later(ms(15000), scenario.deployment.operator.evacuate, cell, False)
+        scenario.later(ms(1000) * second, scenario.rng.choice(changes), scenario)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.later(ms(5000), scenario.deployment.operator.evacuate, zone)
+    scenario.later(ms(15000), scenario.deployment.operator.evacuate, zone, False)
     # One change arrives just as the cut heals.
     scenario.later(LONG_CUT, open_operators.change_timeout, scenario)
     return LONG_CUT + ms(2000)
@@ -97,9 +97,9 @@
 def zone_cut(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """A zone's machines and endpoints are cut off from those of other zones; clients still reach all of them."""
     world = scenario.world
-    cell = scenario.rng.choice(scenario.deployment.cells)
+    zone = scenario.rng.choice(scenario.deployment.zones)
     parties = [*world.nodes, *(endpoint.name for endpoint in scenario.deployment.endpoints if endpoint.up)]
-    inside = [name for name in parties if world.cells.get(name) == cell]
+    inside = [name for name in parties if world.zones.get(name) == zone]
     for name in inside:
         for other in parties:
             if other not in inside:
@@ -299,20 +299,20 @@
 @fault
 def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Most acknowledgements to operators are lost, and each command is resent until one arrives."""
-    for who in OPERATORS:
-        scenario.world.reply_loss[who] = 0.7
+    for operator_name in OPERATORS:
+        scenario.world.reply_loss[operator_name] = 0.7
     scenario.deployment.records.ack_losses.append(open_records.Span(scenario.world.now, scenario.world.now + ms(8000)))
     scenario.later(ms(8000), end_response_losses, scenario)
     for number in range(5):
         scenario.later(ms(1200) * number, open_operators.change_timeout, scenario)
         scenario.later(ms(1200) * number + ms(300), open_operators.race, scenario)
-    cell = scenario.rng.choice(scenario.deployment.cells)
-    scenario.later(ms(2000), scenario.deployment.operator.evacuate, cell)
-    scenario.later(ms(6500), open_operator.Operator(scenario.deployment, 'op1').evacuate, cell, False)
+    zone = scenario.rng.choice(scenario.deployment.zones)
+    scenario.later(ms(2000), scenario.deployment.operator.evacuate, zone)
+    scenario.later(ms(6500), open_operator.Operator(scenario.deployment, 'op1').evacuate, zone, False)
     return ms(10000)
 
 
 def end_response_losses(scenario: 'open_days.Scenario') -> None:
     """End the loss of responses to operators."""
-    for who in OPERATORS:
-        scenario.world.reply_loss.pop(who, None)
+    for operator_name in OPERATORS:
+        scenario.world.reply_loss.pop(operator_name, None)
--- a/zinctrail/simulation/open_actors/endpoint.py
+++ b/zinctrail/simulation/open_actors/endpoint.py
@@ -42,14 +42,14 @@
     """A server of one service at one address; each start is a new incarnation."""
 
     def __init__(
-        self, deployment: 'open_deployment.Deployment', name: str, address: str, service: str, cell: str, slots: int
+        self, deployment: 'open_deployment.Deployment', name: str, address: str, service: str, zone: str, slots: int
     ) -> None:
         self.deployment = deployment
         self.world = deployment.world
         self.name = name
         self.address = address
         self.service = service
-        self.cell = cell
+        self.zone = zone
         self.slots = slots
         self.max_queue_length = slots * 4
         # incarnation counts starts and ends; incarnation_id identifies the incarnation in heartbeats and requests.
@@ -72,11 +72,11 @@
         self.reports_unhealthy = False
         # How long a connection may be idle before the endpoint drops it without notice.
         self.idle_limit: datetime.timedelta | None = None
-        self.world.cells[name] = cell
+        self.world.zones[name] = zone
 
     # -- lifecycle ---------------------------------------------------------------
 
-    def start(self, cold: bool = True) -> None:
+    def start(self, warms_up: bool = True) -> None:
         """Start a new incarnation, unless the endpoint is up."""
         if self.up:
             return
@@ -92,7 +92,7 @@
         self.open: dict[str | None, typing.Callable] = {}
         self.work: dict[str | None, open_records.Work] = {}
         self.warm_up_ends_at = self.world.now
-        if cold:
+        if warms_up:
             self.start_warm_up()
         self.world.endpoints[self.address] = self
         self.send_heartbeat(self.incarnation)
@@ -104,8 +104,8 @@
             open_records.WarmUpSpan(self.world.now, self.warm_up_ends_at, self.incarnation_id)
         )
 
-    def kill(self, dark: bool = False) -> None:
-        """End at once. With `dark`, connections stay open and silent instead of being closed."""
+    def kill(self, silently: bool = False) -> None:
+        """End at once. With `silently`, connections stay open and silent instead of being closed."""
         if not self.up:
             return
         self.up = False
@@ -116,7 +116,7 @@
         for work in self.work.values():
             work.ended_at = self.world.now
         for callback in list(self.open.values()):
-            if not dark:
+            if not silently:
                 callback(effects.HttpResult(fault='connection lost'))
 
     # -- heartbeats -----------------------------------------------------------
@@ -132,7 +132,7 @@
             'inc': self.incarnation_id,
             'addr': self.address,
             'service': self.service,
-            'cell': self.cell,
+            'cell': self.zone,
             'slots': self.slots,
             'state': self.state,
             'seq': self.sequence,
@@ -211,7 +211,7 @@
             incarnation=self.incarnation_id,
             target_incarnation=headers.get('zt-inc'),
             service=self.service,
-            cell=self.cell,
+            zone=self.zone,
             method=call.method,
             path=call.path,
             body=call.body,
@@ -288,9 +288,9 @@
         random_work = ms(self.work_ms * factor * world.rng.lognormvariate(*WORK_FACTOR_DISTRIBUTION))
         work = min(random_work, ms(self.work_ms * MAX_WORK_FACTOR))
         remaining = ms(int(headers.get('zt-left-ms', DEFAULT_REMAINING_MS)))
-        noted = open_records.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
-        self.work[arrival.id] = noted
-        self.deployment.records.work.append(noted)
+        work_record = open_records.Work(arrival.id, self.incarnation_id, world.now + min(work, remaining))
+        self.work[arrival.id] = work_record
+        self.deployment.records.work.append(work_record)
         world.after(min(work, remaining), self.finish, self.incarnation, arrival, callback, work > remaining)
         return arrival.id
 
--- a/zinctrail/simulation/open_actors/world.py
+++ b/zinctrail/simulation/open_actors/world.py
@@ -30,20 +30,20 @@
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
         # The zone of each process, endpoint and user, by its name.
-        self.cells: dict[str, str] = {}
+        self.zones: dict[str, str] = {}
         self.records = open_records.Records()
         # The cuts that are not healed, by (source, target).
         self.open_cuts: dict[tuple[str, str], open_records.Cut] = {}
 
     def add(self, name: str, role: str, cell: str, *args, **kwargs) -> simulated_node.Node:
         """Add a node that is not started yet, and record its zone."""
-        self.cells[name] = cell
+        self.zones[name] = cell
         return super().add(name, role, cell, *args, **kwargs)
 
     def extra_latency(self, source: str, target: str) -> datetime.timedelta:
         """Return the added one-way latency between the zones of two parties."""
-        here = self.cells.get(source)
-        there = self.cells.get(target)
+        here = self.zones.get(source)
+        there = self.zones.get(target)
         if here is None or there is None or here == there:
             return durations.ZERO
         is_same_region = here.split('/')[0] == there.split('/')[0]
@@ -53,9 +53,9 @@
         """Cut a link as simulation.network does, and record the cut."""
         super().cut(source, target, both)
         if (source, target) not in self.open_cuts:
-            noted = open_records.Cut(source, target, self.now)
-            self.open_cuts[source, target] = noted
-            self.records.cuts.append(noted)
+            cut = open_records.Cut(source, target, self.now)
+            self.open_cuts[source, target] = cut
+            self.records.cuts.append(cut)
 
     def heal(self, *names: str) -> None:
         """Heal links as simulation.network does, and record when each cut ended."""
