--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -44,7 +44,7 @@
 @behave.when('another master leads, and the same ask comes again')
 def another_leader_gets_copy(context):
     leader = context.leader
-    leader.node.lead_anew()
+    leader.node.lead_again()
     context.state = leader.state()
     context.copy_result = leader.request(
         context.operation, context.arguments, seen=leader.newest_round(), since=context.term
@@ -171,7 +171,7 @@
     for is_emptied in (True, False):
         leader.operate('cell.empty', cell=CELL, on=is_emptied)
     for _ in range(2):
-        leader.node.lead_anew()
+        leader.node.lead_again()
         leader.operate('beat', **leader.heartbeat('e', 5))
 
 
--- a/features/steps/client_disconnect_steps.py
+++ b/features/steps/client_disconnect_steps.py
@@ -220,7 +220,7 @@
     proxy = context.proxy
     context.call = proxy.request(REQUEST_ID)
     if context.times == 'once':
-        proxy.answer_claim(got='claimed')
+        proxy.respond_to_claim(got='claimed')
     proxy.pass_time(100)
     if state == 'at an endpoint':
         proxy.grant_credit()
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -145,7 +145,7 @@
 
 @behave.when('the master changes')
 def leader_changes(context):
-    context.node.lead_anew()
+    context.node.lead_again()
 
 
 @behave.when('{duration_ms:d} ms go by')
@@ -204,7 +204,7 @@
     for text in beats.split(', '):
         words = text.split()
         if text == 'new master':
-            node.lead_anew()
+            node.lead_again()
         elif text in ('emptied', 'taken back'):
             assert node.operate('cell.empty', cell='r0/c0', on=text == 'emptied')['status'] == 200
         elif words[1:] == ['gone']:
@@ -297,7 +297,7 @@
     address = machine_host.address_of('b')
     frames = [send.frame for send in node.sends if send.address == address and send.frame['t'] in ('pub', 'chk')]
     for frame in frames[-count:]:
-        for kind, arguments in node.answer_of_b(frame):
+        for kind, arguments in node.response_of_b(frame):
             node.feed(kind, *arguments)
 
 
--- a/features/steps/orders_evacuation_steps.py
+++ b/features/steps/orders_evacuation_steps.py
@@ -64,7 +64,7 @@
     context.answers = []
     for words in (text.split() for text in orders.split(', ')):
         if words == ['new', 'master']:
-            context.node.lead_anew()
+            context.node.lead_again()
             continue
         arguments = {'cell': CELL, 'on': words[0] == 'on'}
         if len(words) == 2:
--- a/features/steps/refusals_proxy_steps.py
+++ b/features/steps/refusals_proxy_steps.py
@@ -39,7 +39,7 @@
     """A request is claimed, and waits for credit."""
     context.proxy = proxy = following_proxy.FollowingProxy()
     context.call = proxy.request(REQUEST_ID, **headers)
-    proxy.answer_claim(got='claimed')
+    proxy.respond_to_claim(got='claimed')
     proxy.pass_time(100)
     assert proxy.sent_all('want') and not proxy.fetches
 
@@ -81,7 +81,7 @@
 @behave.when('another request is claimed')
 def another_is_claimed(context):
     context.proxy.request(SECOND_ID)
-    context.proxy.answer_claim(got='claimed')
+    context.proxy.respond_to_claim(got='claimed')
 
 
 @behave.then('the second request is not sent')
@@ -119,7 +119,7 @@
 
 @behave.when('its claim is taken by {owner}, and {state}')
 def claim_is_taken(context, owner, state):
-    context.proxy.answer_claim(got='taken', by=owner, at=machine_host.address_of('p'), state=state, attempt=1)
+    context.proxy.respond_to_claim(got='taken', by=owner, at=machine_host.address_of('p'), state=state, attempt=1)
 
 
 @behave.then('its caller is told {status:d} "{outcome}", and nothing is sent')
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -64,7 +64,7 @@
 
 @behave.when('the node leads anew, and knows only the replicated state')
 def leads_anew(context):
-    context.leader.node.lead_anew()
+    context.leader.node.lead_again()
 
 
 @behave.then('the put gets the revision that it got first, and nothing is written')
--- a/features/support/control_node.py
+++ b/features/support/control_node.py
@@ -42,11 +42,11 @@
                 if isinstance(effect, effects.Send):
                     self.sends.append(effect)
                     if not self.is_muted and effect.address == machine_host.address_of('b'):
-                        inputs += self.answer_of_b(effect.frame)
+                        inputs += self.response_of_b(effect.frame)
                 elif isinstance(effect, effects.HttpResponse):
                     self.responses[effect.request_id] = (effect.status, json.loads(effect.body))
 
-    def answer_of_b(self, frame: dict[str, typing.Any]) -> list[tuple]:
+    def response_of_b(self, frame: dict[str, typing.Any]) -> list[tuple]:
         """Return b's response to a frame as inputs of the node: one, or none."""
         replica_of_b, term = self.replica, frame.get('term')
         if frame['t'] == 'pub':
@@ -101,7 +101,7 @@
         committed = self.machine.replica.committed
         assert committed[0] == self.machine.term, committed
 
-    def lead_anew(self) -> None:
+    def lead_again(self) -> None:
         """Step down and lead again with only the replicated state, like a newly elected node."""
         self.machine.step_down('test')
         registry = self.machine.endpoint_registry
--- a/features/support/following_proxy.py
+++ b/features/support/following_proxy.py
@@ -96,7 +96,7 @@
         self.feed('http', self.calls, effects.HttpRequest('POST', f'/r/{POOL}/x', headers, b''))
         return self.calls
 
-    def answer_claim(self, **result) -> None:
+    def respond_to_claim(self, **result) -> None:
         """Let the leader respond to the newest claim."""
         key = self.sent_all('ask')[-1]['key']
         self.recv('b', 'ask_re', key=key, result={'status': 200, **result})
