--- a/features/lost_disks.feature
+++ b/features/lost_disks.feature
@@ -1,6 +1,6 @@
 Feature: A control node that lost its disk forms no cluster
   Guards against review/1: control nodes that lost their disks formed a second cluster while the others were without
-  power. A setting tells a process that the whole system starts for the first time; only the processes of that first
+  power. A setting tells a process whether the whole system starts for the first time; only the processes of that first
   start may form a cluster. Each row runs under several seeds of the simulator.
 
   Scenario Outline: Disks are lost while the other control nodes are without power
--- a/features/refusals.feature
+++ b/features/refusals.feature
@@ -50,13 +50,13 @@
 
   Scenario: A leader steps down for a node of a later term that asks to be a member
     Given voter a of a,b,c leads
-    When d of term 9 requests to join the members
+    When d of term 9 requests to join
     Then a is candidate
 
   Scenario: Who does not lead makes nobody a member
     Given voter a of a,b,c in term 3 with accepted 3.9
     And a follows b in term 3
-    When d of term 3 requests to join the members
+    When d of term 3 requests to join
     Then a is follower
     And a sends nothing
 
--- a/features/second_loss.feature
+++ b/features/second_loss.feature
@@ -66,13 +66,13 @@
     Given three voters and a spare under seeds 1 to 3
     When a voter is told to stop
     Then it has exited within a second, and a voting set without it was committed before
-    And the leader reports that it tolerates 1 more losses, and that the voting set waits for nothing
+    And the leader reports that it tolerates 1 more losses, and lists as voting_set_waits: nothing
 
   Scenario: A leaver that nobody can replace ends soon, and stays a voter
     Given three voters and no spare under seeds 1 to 3
     When a voter is told to stop
     Then it has exited within a second, and is still a voter
-    And the leader reports that it tolerates 0 more losses, and that the voting set waits for a control node in the place of
+    And the leader reports that it tolerates 0 more losses, and lists as voting_set_waits: a control node in the place of
 
   Scenario: Two of five wiped at once
     Given five voters under seeds 1 to 3
@@ -136,7 +136,7 @@
   Scenario: Commands and pages tell what more can be lost
     Given three voters and a spare under seeds 1 to 3
     When the spare has left and a voter loses power
-    Then the leader reports that it tolerates 0 more losses, and that the voting set waits for to come back
+    Then the leader reports that it tolerates 0 more losses, and lists as voting_set_waits: to come back
     And zinctrailctl status prints "bears the loss of 0 more voters"
 
   Scenario: Leaves, wipes, power losses and freezes at random, while the configuration changes
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -67,7 +67,7 @@
     return repr(attributes | {'replica': (replica.tables, replica.pending, replica.accepted, replica.committed)})
 
 
-def is_readable(frame):
+def is_well_formed(frame):
     """True if a frame is well-formed."""
     try:
         message_kinds.decode(frame)
@@ -94,7 +94,7 @@
         for field in sorted(frame):
             for wrong in WRONG_VALUES:
                 changed = dict(frame, c=machine.cluster, **{field: wrong}) if field != 'c' else dict(frame)
-                if is_readable(changed):
+                if is_well_formed(changed):
                     machine.feed('recv', context.world.now, json.loads(json.dumps(changed)))
 
 
@@ -104,7 +104,7 @@
         without_field = {name: value for name, value in frame.items() if name != field}
         changed = [dict(frame, **{field: wrong}) for wrong in WRONG_VALUES]
         for malformed in [*changed, without_field]:
-            if not is_readable(malformed):
+            if not is_well_formed(malformed):
                 before, count = state_of(machine), machine.bad_frames
                 machine.feed('recv', context.world.now, json.loads(json.dumps(malformed)))
                 assert state_of(machine) == before and machine.bad_frames == count + 1, (kind, field, malformed)
--- a/features/steps/refusals_leading_steps.py
+++ b/features/steps/refusals_leading_steps.py
@@ -56,7 +56,7 @@
 
 
 @behave.then('the first is committed, and the second is not')
-def only_first_in_force(context):
+def only_first_committed(context):
     replica = context.node.machine.replica
     assert replica.committed == tuple(context.first), (replica.committed, context.first)
     assert replica.get(TABLE, 'r0/c1') is not None and replica.get(TABLE, 'r0/c2') is None
@@ -64,7 +64,7 @@
 
 @behave.when('{count:d} change is requested, {gap:d} ms apart')
 @behave.when('{count:d} changes are requested, {gap:d} ms apart')
-def changes_asked_for(context, count, gap):
+def changes_requested(context, count, gap):
     for number in range(count):
         change(context, f'r0/c{number}')
         context.node.run(gap)
@@ -119,18 +119,18 @@
 
 
 @behave.then('neither request gets a response')
-def none_is_answered(context):
+def none_gets_response(context):
     assert not context.results, context.results
 
 
 @behave.when('its voters respond again, and {duration:d} ms pass')
-def voters_answer_again(context, duration):
+def voters_respond_again(context, duration):
     context.node.is_muted = False
     context.node.run(duration)
 
 
 @behave.then('both requests get a response with status {status:d}')
-def both_are_answered(context, status):
+def both_get_response(context, status):
     assert [result['status'] for result in context.results] == [status, status], context.results
 
 
@@ -209,7 +209,7 @@
 
 
 @behave.when('its voters and d respond again, and {duration:d} ms pass')
-def all_answer_again(context, duration):
+def all_respond_again(context, duration):
     node = context.node
     node.is_muted = False
     for _ in range(duration // 50):
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -134,7 +134,7 @@
     assert not context.host.machine.has_lease()
 
 
-@behave.when('d of term {term:d} requests to join the members')
+@behave.when('d of term {term:d} requests to join')
 def asks_to_be_member(context, term: int):
     row = machine_host.member_row('d')
     context.host.recv('d', 'join', member=row, accepted=(0, 0), term=term)
@@ -175,7 +175,7 @@
 
 
 @behave.when('the proxy responds to everything again for {duration:d} ms')
-def proxy_answers_again(context, duration: int):
+def proxy_responds_again(context, duration: int):
     context.leader.run_with_proxies(duration)
 
 
@@ -213,7 +213,7 @@
 
 
 @behave.when('p responds to a heartbeat with its committed version, and to nothing after that')
-def member_answers_once(context):
+def member_responds_once(context):
     host = context.host
     respond_to_heartbeats(host, 'p', (3, 9))
     host.run(500, lambda: respond_to_heartbeats(host, 'p', (3, 9)))
@@ -221,7 +221,7 @@
 
 
 @behave.when('the first version is committed, and b responds to heartbeats for {duration:d} ms')
-def first_version_in_force(context, duration: int):
+def first_version_becomes_committed(context, duration: int):
     host, context.grants = context.host, []
     # The first version is committed later than p's response, so that a lease for that response could be granted.
     host.run(10)
@@ -268,7 +268,7 @@
 
 
 @behave.when('the voters respond again')
-def voters_answer_again(context):
+def voters_respond_again(context):
     node = context.node
     node.is_muted = False
     # Frames that were sent while they were muted are lost; their next responses show which versions they lack.
@@ -284,7 +284,7 @@
 
 
 @behave.when('it requests an operation, and c responds that it came too late')
-def answered_as_too_late(context):
+def responded_as_too_late(context):
     context.results = []
     host = context.host
     host.machine.request_operation('number.step', {'name': 'n'}, context.results.append)
@@ -293,12 +293,12 @@
 
 
 @behave.then('the request is still pending')
-def request_is_open(context):
+def request_is_pending(context):
     assert not context.results, context.results
 
 
 @behave.when('b responds to it with status {status:d}')
-def leader_answers(context, status: int):
+def leader_responds(context, status: int):
     context.host.recv('b', 'ask_re', key=context.key, result={'status': status})
 
 
@@ -318,7 +318,7 @@
 
 
 @behave.then('no publication gets a response')
-def no_publication_answered(context):
+def no_publication_response(context):
     assert not context.host.sent('pub_re'), context.host.effects
 
 
@@ -335,7 +335,7 @@
 
 
 @behave.given('voter a of a,b,c whose cluster was abandoned for c2')
-def cluster_given_up(context):
+def cluster_abandoned(context):
     files = machine_host.data_folder('a', list('abc'), 3, (3, 9))
     files['retired'] = storage.encode({'for': 'c2'})
     location = machine_host.location_of('a')
@@ -354,14 +354,14 @@
 
 
 @behave.when('d of cluster c2 notifies it that cluster c3 was abandoned')
-def other_cluster_given_up(context):
+def other_cluster_abandoned(context):
     frame = machine_host.frame_from('d', 'retired', {'of': ['c3']})
     context.host.machine.cluster = machine_host.CLUSTER
     context.host.feed('recv', dict(frame, c='c2'))
 
 
 @behave.then('it still follows b')
-def follows_still(context):
+def still_follows(context):
     machine = context.host.machine
     assert machine.mode == 'follower' and machine.leader['id'] == 'b' and machine.cluster == machine_host.CLUSTER
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -156,15 +156,15 @@
     context.silent_proxy = index
 
 
-@behave.then('within {most_ms:d} ms it is removed from the members')
-def silent_proxy_is_dropped(context, most_ms: int):
-    context.host.run_with_proxies(most_ms, silent={context.silent_proxy})
+@behave.then('within {limit_ms:d} ms it is removed from the members')
+def silent_proxy_is_removed(context, limit_ms: int):
+    context.host.run_with_proxies(limit_ms, silent={context.silent_proxy})
     members = context.host.machine.replica.get('members')
     assert f'p{context.silent_proxy}' not in members and len(members) == context.proxy_count, len(members)
 
 
-@behave.then('no lease granted to proxy {index:d} outlasts its last response by more than {most_ms:d} ms')
-def leases_rest_on_answers(context, index: int, most_ms: int):
+@behave.then('no lease granted to proxy {index:d} outlasts its last response by more than {limit_ms:d} ms')
+def leases_are_for_earlier_heartbeats(context, index: int, limit_ms: int):
     times = [time for time, proxy in context.host.heartbeats if proxy == index]
     last = max(time for time in times if time <= context.since)
     assert all(heartbeat_sent_at <= last for _, proxy, heartbeat_sent_at, _ in context.host.grants if proxy == index)
@@ -181,7 +181,7 @@
 
 
 @behave.then('no grant to proxy {index:d} is based on a response from after the change')
-def grants_rest_on_earlier_answers(context, index: int):
+def grants_are_for_earlier_responses(context, index: int):
     # A lease runs from the time of the response, so that the last one ends at most one lease after the change.
     grants = context.host.grants
     assert any(proxy != index and heartbeat_sent_at > context.since for _, proxy, heartbeat_sent_at, _ in grants)
--- a/features/steps/snapshots_steps.py
+++ b/features/steps/snapshots_steps.py
@@ -20,8 +20,8 @@
 
 def started_rig(context):
     """Return the rig, and start it at the first call, when the scenario has added all members."""
-    if not context.started_rig:
-        context.started_rig = True
+    if not context.is_rig_started:
+        context.is_rig_started = True
         assert context.rig.start(), 'nobody leads'
         follower = context.rig.world.nodes.get(FOLLOWER)
         if follower is not None:
@@ -40,7 +40,7 @@
     context.rig = catch_up.CatchUp(size, bound=settings.Settings(frame_most=kilobytes << 10))
     context.rig.world.compresses = False
     context.state_bytes = len(json.dumps(context.rig.state))
-    context.started_rig = False
+    context.is_rig_started = False
     context.lost = None
 
 
@@ -198,7 +198,7 @@
     rig = started_rig(context)
     follower = rig.world.nodes[FOLLOWER]
     assert rig.world.run(durations.ms(20000), until=lambda: rig.has_caught_up(follower))
-    # A voter's folder also begins with a snapshot.
+    # As in a real data folder, which begins with a snapshot.
     for node in rig.nodes:
         write_snapshot(node)
     lost = list(select_nodes(rig))
--- a/features/steps/voter_leaving_steps.py
+++ b/features/steps/voter_leaving_steps.py
@@ -54,7 +54,7 @@
         assert_exited_soon(simulated, context.leaving_voters[simulated])
 
 
-@behave.then('the leader reports that it tolerates {count:d} more losses, and that the voting set waits for {what}')
+@behave.then('the leader reports that it tolerates {count:d} more losses, and lists as voting_set_waits: {what}')
 def leader_reports_losses_tolerated(context, count: int, what: str):
     for simulated in context.worlds:
         machine = simulated.leader().machine
