--- a/features/support/deployment_client.py
+++ b/features/support/deployment_client.py
@@ -14,10 +14,10 @@
 LEASE_WAIT_S = 60
 LEASE_POLL_S = 0.1
 RESPONSE_TIMEOUT_S = 15
-# Long, because whoever waits for a response here waits for an event, also on a crowded machine.
+# Long, because the scenarios wait for events, and a busy machine may delay them.
 ROUTE_TIMEOUT_MS = 10000
 ROUTE_TARGET_MS = 1500
-# Routes whose requests may wait for a minute: they are not hedged meanwhile, or soon.
+# Routes whose requests may wait for a minute; those of the first are not hedged meanwhile, those of the second soon.
 LONG_TIMEOUT_ROUTE, LONG_TIMEOUT_HEDGED_ROUTE = 'r8', 'r9'
 LONG_TIMEOUT_MS = 60000
 
@@ -25,19 +25,19 @@
 
 
 def running() -> deployments.Deployment:
-    """The deployment that serves all scenarios of the feature."""
+    """Return the deployment that serves all scenarios of the feature."""
     return deployments.RUNNING[-1]
 
 
 def contention() -> float:
-    """How many want each processor of this machine, 1 at the least: a bound in real time means so much more here."""
+    """Return the load per processor of this machine, at least 1: bounds in real time are multiplied by it."""
     return max(1.0, os.getloadavg()[0] / (os.cpu_count() or 1))
 
 
 def retry_without_lease(send: collections.abc.Callable[[str], http_calls.Response]) -> http_calls.Response:
-    """The response to an attempt, `send(attempt_id)`, which is repeated while it is refused for want of a lease.
+    """Send an attempt by `send(attempt_id)`, again while it is refused for lack of a lease; return the response.
 
-    On a crowded machine processes may not run for seconds, and a proxy rightly refuses requests then.
+    On a busy machine processes may not run for seconds, and a proxy rightly refuses requests then.
     """
     end = time.monotonic() + LEASE_WAIT_S
     while True:
@@ -47,13 +47,13 @@
         time.sleep(LEASE_POLL_S)
 
 
-def send_request(front: str, route: str = 'r1', left_ms: int = 10000, **options) -> http_calls.Response:
-    """The response to a request on a route, with its attempt id; its status is 0 if the connection was lost."""
+def send_request(ingress: str, route: str = 'r1', left_ms: int = 10000, **options) -> http_calls.Response:
+    """Send a request on a route; return the response with its attempt id, with status 0 if the connection was lost."""
 
     def send(attempt_id):
         try:
             response = http_calls.send_attempt(
-                front, HOST, f'/{route}/x', attempt_id, left_ms=left_ms, timeout_s=RESPONSE_TIMEOUT_S, **options
+                ingress, HOST, f'/{route}/x', attempt_id, left_ms=left_ms, timeout_s=RESPONSE_TIMEOUT_S, **options
             )
         except http_calls.ConnectionLostError as fault:
             response = http_calls.Response(0, {}, str(fault).encode())
@@ -63,13 +63,13 @@
     return retry_without_lease(send)
 
 
-def wait_for_good_response(front: str) -> None:
-    """Send good requests until one is answered with 200."""
-    running().wait_until(lambda: send_request(front).status == 200, 'a good answer', 30)
+def wait_for_good_response(ingress: str) -> None:
+    """Send valid requests until one gets 200."""
+    running().wait_until(lambda: send_request(ingress).status == 200, 'a response with status 200', 30)
 
 
 def executions(attempt_id: str) -> list[Executed]:
-    """(endpoint, request) wherever an attempt was executed."""
+    """Return (endpoint, request) for each execution of an attempt."""
     return [
         (test_endpoint, request)
         for test_endpoint in running().endpoints
@@ -79,7 +79,7 @@
 
 
 def execution_of(response: http_calls.Response) -> Executed:
-    """(endpoint, request) where a response says that it was executed; an idempotent one may have run elsewhere too."""
+    """Return the (endpoint, request) that a response names; an idempotent request may have run elsewhere too."""
     return next(
         (test_endpoint, request)
         for test_endpoint, request in executions(response.attempt_id)
@@ -88,7 +88,7 @@
 
 
 def resolutions() -> list[list[str]]:
-    """The addresses that each control node which answers gives to a client."""
+    """Return, for each control node that responds, the addresses that it resolves for a client."""
     addresses = []
     for process in running().cores:
         path = f'/v1/resolution?name={HOST}&region=north&zone=z1'
@@ -100,13 +100,13 @@
 
 
 def wait_for_resolutions(edges: list[deployments.AdapterProcess], what: str, limit_s: float = 60) -> None:
-    """Wait until each control node gives just the addresses of these proxies."""
+    """Wait until each control node resolves exactly the addresses of these proxies."""
     wanted = [sorted(process.front for process in edges)] * len(running().cores)
     running().wait_until(lambda: resolutions() == wanted, what, limit_s)
 
 
 def assert_configuration_in_force(response: http_calls.Response) -> None:
-    """A configuration that was read back is what the operator was told to be in force."""
+    """Assert that a configuration that was read back has exactly the acknowledged changes."""
     assert platform_documents.by_name(response.document) == platform_documents.by_name(running().items), response
 
 
@@ -117,8 +117,8 @@
     running().items['route_list'] += routes
 
 
-def add_long_timeout_routes(front: str) -> None:
-    """Add the patient routes, unless they are there, and wait until a proxy knows them."""
+def add_long_timeout_routes(ingress: str) -> None:
+    """Add the routes with long timeouts unless they exist, and wait until a proxy serves them."""
     targets_ms = {LONG_TIMEOUT_ROUTE: LONG_TIMEOUT_MS, LONG_TIMEOUT_HEDGED_ROUTE: ROUTE_TARGET_MS}
     if all(route['name'] != LONG_TIMEOUT_ROUTE for route in running().items['route_list']):
         add_routes(
@@ -128,12 +128,12 @@
             ]
         )
     running().wait_until(
-        lambda: {send_request(front, name).status for name in targets_ms} == {200}, 'the patient routes'
+        lambda: {send_request(ingress, name).status for name in targets_ms} == {200}, 'the routes with long timeouts'
     )
 
 
 def change_route(number: int) -> None:
-    """Send a change of one route; it is noted if it was acknowledged."""
+    """Send a change that adds one route; record it if it was acknowledged."""
     row = platform_documents.route(f'c{number}', 3)
     document = {'upserts': {'route_list': [row]}, 'removals': {}}
     if running().call_control('PATCH', '/v1/configuration', document).status == 200:
--- a/features/support/endpoint.py
+++ b/features/support/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint over real sockets: it sends heartbeats, executes requests, and misbehaves as it is told."""
+"""An endpoint on real sockets that sends heartbeats, executes requests, and misbehaves as a scenario says."""
 
 import collections.abc
 import contextlib
@@ -18,15 +18,15 @@
 BACKLOG = 100
 LINE_BYTES = 65537
 HEARTBEAT_SECONDS = 1.0
-# How long a response is withheld at most, where nobody releases it.
+# How long a response is withheld at most, unless it is released before.
 WITHHOLD_SECONDS = 60
-# Statuses by which an endpoint refuses a request without executing it.
+# The statuses by which an endpoint refuses a request without executing it.
 REFUSALS = {'busy': 503, 'deny': 429, 'move': 421}
 SEAL_MODULUS = 9973
 
 
 class Request(typing.TypedDict):
-    """A request as an endpoint got it; `id` is that of the attempt."""
+    """A request as an endpoint received it; `id` is that of the attempt."""
 
     id: str
     method: str
@@ -36,18 +36,18 @@
 
 
 class Endpoint:
-    """A stand-in endpoint, with a list of behaviours: one for each request to come, 'ok' once it is empty.
+    """A test endpoint with a list of behaviours: one for each request to come, 'ok' when the list is empty.
 
-    'ok'       the whole response                'cut'     half of the body, then a close
+    'ok'       the full response                 'cut'     half of the body, then a close
     'reset'    a reset, after executing it       'silent'  nothing, ever
-    'bytes'    bytes that are no response        'extra'   a whole response and more bytes after it
-    'twin'     a whole response, then another    'other'   a response with another attempt's id
+    'bytes'    bytes that are no response        'extra'   a full response and more bytes after it
+    'twin'     a full response, then another     'other'   a response with another attempt's id
     'bare'     a success without a seal          'busy'    503, not executed
     'deny'     429, not executed                 'move'    421, not executed
-    'own500'   a 500 of its own                  'close'   a whole response, Connection: close
-    'hold'     the whole one, once released      'leave'   a close before a byte of the response
-    'work'     works until its connection is closed, and drops the request then
-    'late'     the whole one, and once more in the place of the response to the next request
+    'own500'   a 500 of its own                  'close'   a full response, Connection: close
+    'hold'     the full one, once released       'leave'   a close before a byte of the response
+    'work'     executes until its connection is closed, and drops the request then
+    'late'     the full one, and a second copy in place of the response to the next request
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.dropped: list[str] = []
         self.health_checks = 0
         self.connections_taken = 0
-        # What the heartbeats say.
+        # The contents of its heartbeats.
         self.state = 'available'
         self.cold_ms = 0
         self.load: str | None = None
@@ -85,7 +85,7 @@
         self.lock = threading.Lock()
         self.open_connections: set[socket.socket] = set()
         self.accepted: queue.SimpleQueue = queue.SimpleQueue()
-        # By 'late': connections that owe a second copy of a response, and how many copies went out in a wrong place.
+        # For 'late': the second copy to send on each connection, and how many of these copies were sent.
         self.owed_copies: dict[socket.socket, tuple] = {}
         self.misplaced_copies = 0
 
@@ -96,7 +96,7 @@
         host, _, port = self.address.rpartition(':')
         self.listener.bind((host, int(port)))
         self.listener.listen(BACKLOG)
-        # All threads start now, because on a crowded machine a new thread may take a second to begin.
+        # All threads start now, because on a busy machine a new thread may take a second to begin.
         for _ in range(WORKERS):
             threading.Thread(target=self.work, daemon=True).start()
         threading.Thread(target=self.accept, daemon=True).start()
@@ -104,18 +104,18 @@
         threading.Thread(target=self.send_heartbeats, daemon=True).start()
 
     def crash(self) -> None:
-        """End without telling anybody."""
+        """Stop without a notice to the control nodes, and close all connections."""
         if self.has_ended.is_set():
             return
         self.has_ended.set()
         self.released.set()
         self.silence_over.set()
-        # Not every system lets a listener be shut down.
+        # Some systems do not allow the shutdown of a listening socket.
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         for connection in list(self.open_connections):
-            # The other side may have closed it first.
+            # The peer may have closed it first.
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
         for _ in range(WORKERS):
@@ -126,10 +126,10 @@
         ended, self.silence_over = self.silence_over, threading.Event()
         ended.set()
 
-    # -- towards the control nodes --------------------------------------------
+    # -- calls to the control nodes -------------------------------------------
 
     def send_heartbeat(self, state: str | None = None) -> http_calls.Response:
-        """One heartbeat, at the first control node that acknowledges it; with `state` as its new state."""
+        """Send a heartbeat to the first control node that acknowledges it; `state` sets the endpoint's state first."""
         if state:
             self.state = state
         self.sequence += 1
@@ -149,18 +149,18 @@
     def send_heartbeats(self) -> None:
         """Send heartbeats until the endpoint ends."""
         while not self.has_ended.wait(HEARTBEAT_SECONDS):
-            # There may be no control node just now; the next heartbeat tries again.
+            # No control node may be reachable; the next heartbeat tries again.
             with contextlib.suppress(RuntimeError):
                 self.send_heartbeat()
 
     def deregister(self) -> http_calls.Response:
-        """Tell the control nodes that this endpoint is gone."""
+        """Remove this endpoint at the control nodes."""
         return self.deployment.call_control('DELETE', f'/v1/instances/{self.identifier}')
 
-    # -- towards the proxies --------------------------------------------------
+    # -- requests from proxies ------------------------------------------------
 
     def accept(self) -> None:
-        """Take connections until the listener is closed."""
+        """Accept connections until the listener is closed."""
         while not self.has_ended.is_set():
             try:
                 connection, _ = self.listener.accept()
@@ -176,7 +176,7 @@
             self.serve(connection)
 
     def serve(self, connection: socket.socket) -> None:
-        """Answer the requests of one connection until it ends."""
+        """Respond to the requests of one connection until it ends."""
         try:
             with connection, connection.makefile('rb') as stream:
                 while not self.has_ended.is_set():
@@ -190,7 +190,7 @@
             self.open_connections.discard(connection)
 
     def respond(self, connection: socket.socket, request: Request) -> bool:
-        """Answer one request as the next behaviour says; whether the connection goes on."""
+        """Respond to one request by the next behaviour; return True if the connection stays open."""
         if request['method'] == 'GET' and request['path'] == '/health':
             self.health_checks += 1
             status = 200 if self.state == 'available' else 503
@@ -215,7 +215,7 @@
         return BEHAVIOURS[behaviour](self, connection, headers, body, attempt_id)
 
     def refusal_of(self, request: Request, behaviour: str) -> int | None:
-        """The status with which a request is refused; None where it is executed."""
+        """Return the status with which a request is refused; None if it is executed."""
         if not request['id']:
             return 400
         expected = request['headers'].get('zinctrail-expected-instance')
@@ -232,7 +232,7 @@
         cut_short: bool = False,
         more: bytes = b'',
     ) -> None:
-        """Write a response; `more` are bytes after it."""
+        """Write a response, and the bytes `more` after it."""
         lines = [f'HTTP/1.1 {status} X', f'Content-Length: {len(body)}']
         if self.load is not None:
             headers = {**headers, 'Zinctrail-Server-Load': self.load}
@@ -250,13 +250,13 @@
         extra_headers: dict[str, str] | None = None,
         **options,
     ) -> bool:
-        """Write a response and go on with the connection."""
+        """Write a response and keep the connection open."""
         self.send(connection, status, {**headers, **(extra_headers or {})}, body, **options)
         return True
 
 
 def response_body(endpoint: Endpoint, request: Request) -> bytes:
-    """The body of an endpoint's response to a request that it executed."""
+    """Return the body of an endpoint's response to a request that it executed."""
     row = {
         'by': endpoint.identifier,
         'id': request['id'],
@@ -267,22 +267,22 @@
 
 
 def seal_of(attempt_id: str, body: bytes) -> str:
-    """The seal that an endpoint puts on a response."""
+    """Return the seal of an endpoint's response."""
     return f'{attempt_id}.{len(body)}.{sum(body) % SEAL_MODULUS}'
 
 
-# -- behaviours: (endpoint, connection, headers, body, attempt id) -> whether the connection goes on
+# -- behaviours: (endpoint, connection, headers, body, attempt id) -> true if the connection stays open
 
 
 def reset(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Reset the connection in place of a response."""
+    """Reset the connection instead of sending a response."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
     connection.close()
     return False
 
 
 def close_unanswered(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Close the connection in place of a response."""
+    """Close the connection instead of sending a response."""
     return False
 
 
@@ -299,10 +299,10 @@
 
 
 def work_until_closed(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Work on it for as long as somebody waits for the response."""
+    """Wait until the proxy closes the connection, and record the request as dropped."""
     readable, _, _ = select.select([connection], [], [], WITHHOLD_SECONDS)
     if readable:
-        # Nothing but the end of the connection may come before the response. A reset is an error, and no less an end.
+        # Only the end of the connection may arrive before the response. A reset raises an error, and is an end as well.
         with contextlib.suppress(ConnectionResetError):
             assert connection.recv(1) == b''
         endpoint.dropped.append(attempt_id)
@@ -316,7 +316,7 @@
 
 
 def add_bytes(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Send bytes after the response that belong to nothing."""
+    """Send the response, and bytes after it that belong to no response."""
     return endpoint.send_whole(connection, headers, body, attempt_id, more=b'bytes of nobody')
 
 
@@ -327,7 +327,7 @@
 
 
 def owe_copy(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Send the response, and once more when the next request comes."""
+    """Send the response, and a second copy of it when the next request arrives."""
     endpoint.owed_copies[connection] = (headers, body, attempt_id)
     return endpoint.send_whole(connection, headers, body, attempt_id)
 
@@ -338,7 +338,7 @@
     return False
 
 
-def answer_another(endpoint, connection, headers, body, attempt_id) -> bool:
+def respond_with_other_id(endpoint, connection, headers, body, attempt_id) -> bool:
     """Send the response with another attempt's id."""
     return endpoint.send_whole(connection, {**headers, 'Zinctrail-Attempt-Id': 'another'}, body, attempt_id)
 
@@ -349,11 +349,11 @@
 
 
 def fail(endpoint, connection, headers, body, attempt_id) -> bool:
-    """Answer with a 500 of its own."""
+    """Send a 500 of the endpoint's own."""
     return endpoint.send_whole(connection, headers, body, attempt_id, status=500)
 
 
-def answer_and_close(endpoint, connection, headers, body, attempt_id) -> bool:
+def respond_and_close(endpoint, connection, headers, body, attempt_id) -> bool:
     """Send the response, say that the connection closes, and close it."""
     endpoint.send_whole(connection, headers, body, attempt_id, extra_headers={'Connection': 'close'})
     return False
@@ -371,15 +371,15 @@
     'extra': add_bytes,
     'twin': add_response,
     'late': owe_copy,
-    'other': answer_another,
+    'other': respond_with_other_id,
     'bare': leave_seal_out,
     'own500': fail,
-    'close': answer_and_close,
+    'close': respond_and_close,
 }
 
 
 def read_request(stream: typing.BinaryIO) -> Request | None:
-    """The next request of a connection; None at its end."""
+    """Read the next request of a connection; None at its end."""
     line = stream.readline(LINE_BYTES)
     if not line.strip():
         return None
@@ -396,7 +396,7 @@
 
 
 def read_chunks(stream: typing.BinaryIO) -> bytes:
-    """A body in chunked transfer coding."""
+    """Read a body in chunked transfer coding."""
     body = b''
     while size := int(stream.readline().split(b';')[0], 16):
         body += stream.read(size)
