--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -111,7 +111,7 @@
 
 
 def requests_to(node: control_node.ControlNode, leader: str) -> list[messages.OperationRequest]:
-    """Return the operations that a node requested of a leader, decoded from JSON, which has lists in place of tuples."""
+    """Return a node's operation requests to a leader, decoded from JSON, which has lists in place of tuples."""
     return [codec.decode(json.loads(json.dumps(frame))) for frame in node.sent('ask', leader)]
 
 
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -26,7 +26,7 @@
 
 
 def request_number(node: control_node.ControlNode, forwards: int) -> None:
-    """Send a caller's request for a number to the node, which forwards it to b `forwards` times; 0: it has no leader."""
+    """Send a number request to the node, which forwards it to b `forwards` times; with 0 it has no leader."""
     if forwards == 0:
         node.machine.lose_leader('test')
     node.feed('http', 1, effects.HttpRequest('POST', '/v1/number/step', {}, b'{"name": "n"}'))
@@ -172,7 +172,7 @@
 
 
 def send_heartbeat(node: control_node.ControlNode, incarnation: str, sequence: int, words: list[str]) -> None:
-    """Send an endpoint's heartbeat; `words` may hold its state, `cold`, and `at` with the endpoint whose address it has."""
+    """Send a heartbeat; `words` may hold the state, `cold`, and `at` with the endpoint whose address it has."""
     address = ADDRESSES[words[2]] if 'at' in words else ADDRESSES[incarnation]
     result = node.operate(
         'beat',
--- a/features/steps/open_endpoint_client_steps.py
+++ b/features/steps/open_endpoint_client_steps.py
@@ -109,7 +109,7 @@
 
 
 def send_request(context, request_id: str, once: bool = True):
-    """Send a request to the endpoint; return its result. With `once` it uses no connection that may have been closed."""
+    """Send a request and return its result; with `once` it uses no connection that may have been closed."""
 
     def is_ours(headers):
         return headers.get('zt-id') in (None, request_id)
--- a/features/steps/open_limits_steps.py
+++ b/features/steps/open_limits_steps.py
@@ -79,7 +79,7 @@
     if status in ('408', 'close'):
         ingress.advance(0.1)
         assert len(ingress.server.connections) == 2
-        # Twice, because a request that takes too long is refused first, and its connection closed if it does not end then.
+        # Twice, because a request that takes too long is refused first, and a connection that then stays open is closed.
         ingress.advance(3)
     received = context.client.read()
     context.client.socket.close()
--- a/features/steps/outlier_detection_steps.py
+++ b/features/steps/outlier_detection_steps.py
@@ -102,7 +102,7 @@
     """A dialect whose responses to health checks, and only those, name the endpoint in a header of their own."""
 
     def health_response_in(self, headers):
-        """Return the headers of a health check's response, with the endpoint's name in the header that the machine reads."""
+        """Return a health response's headers, with the endpoint's name in the header that the machine reads."""
         return dict(headers, **{'zt-inc': headers.get('own-name', '')})
 
 
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -121,7 +121,7 @@
 
 
 def zone_commands(first: int, count: int) -> list[dict]:
-    """Return commands that evacuate the zone and withdraw that, in turn; each is based on the number of the one before."""
+    """Return commands that evacuate the zone and withdraw that, in turn, each based on the one before."""
     return [
         {'cell': ZONE, 'on': number % 2 == 1, 'id': f'other.{number}', 'number': 1 + number}
         for number in range(first, first + count)
--- a/features/support/credit_pool.py
+++ b/features/support/credit_pool.py
@@ -45,7 +45,7 @@
         self.grants: dict[str, dict[str, int]] = {}
 
     def request(self, proxy: str, need: int, is_lost: bool = False, is_idle: bool = False) -> dict[str, int] | None:
-        """Request credit for `need` waiting requests; return the slots granted by endpoint, None if nothing is granted yet.
+        """Request credit for `need` waiting requests; return the grant by endpoint, None if the ledger grants nothing yet.
 
         A proxy does not apply a grant that is lost on its way.
         """
--- a/features/support/late_calls.py
+++ b/features/support/late_calls.py
@@ -1,4 +1,4 @@
-"""Control nodes whose operation requests are copied late, and callers whose acknowledged commands must stay in force."""
+"""Control nodes that get late copies of requests, and callers whose acknowledged commands must stay in force."""
 
 import collections.abc
 import functools
--- a/features/support/scripted_endpoints.py
+++ b/features/support/scripted_endpoints.py
@@ -77,7 +77,7 @@
 
 
 class LoopbackProxy:
-    """A proxy on loopback with its endpoints, and records of executed requests, given statuses and received responses."""
+    """A proxy on loopback with its endpoints, and records of what endpoints executed and clients received."""
 
     def __init__(self, endpoint_count: int, seed: int = 1):
         self.arrived = collections.defaultdict(list)
