--- a/features/credit.feature
+++ b/features/credit.feature
@@ -56,7 +56,7 @@
 
   Scenario: What an idle proxy holds to spare goes to one that has work
     Given a pool of endpoints 1
-    When an idle proxy asks for credit first, and one with 3 waiting asks after it
+    When an idle proxy asks for credit first, and one with 3 waiting requests asks after it
     Then once the idle one has asked again, the other is granted 1
 
   Scenario: Endpoints that come and go leave nothing behind in a proxy
--- a/features/steps/calls_control_steps.py
+++ b/features/steps/calls_control_steps.py
@@ -18,7 +18,7 @@
 import zinctrail.proxy.request as request_record
 import zinctrail.runtime.effects as effects
 
-CELL = operation_cases.CELL
+ZONE = operation_cases.ZONE
 OUTCOME_PREFIX = 'the outcome of '
 
 # -- one leader, and late copies of operations --------------------------------
@@ -123,7 +123,7 @@
     # Without an id, as a member of an earlier release requests it.
     node.machine.request_operation(
         'cell.empty',
-        {'cell': CELL, 'on': True},
+        {'cell': ZONE, 'on': True},
         lambda result: node.responses.update({1: (result['status'], result)}),
     )
     node.feed('wake')
@@ -169,7 +169,7 @@
     leader = context.leader
     leader.operate('beat', **leader.heartbeat('e', 4))
     for is_emptied in (True, False):
-        leader.operate('cell.empty', cell=CELL, on=is_emptied)
+        leader.operate('cell.empty', cell=ZONE, on=is_emptied)
     for _ in range(2):
         leader.node.lead_anew()
         leader.operate('beat', **leader.heartbeat('e', 5))
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -385,7 +385,7 @@
 @behave.when('b is started again from its disk and {duration_ms:d} ms go by')
 def member_restarts_from_disk(context, duration_ms: int):
     node = context.node
-    # Run on first, because c does not respond, and its removal commits a version, too.
+    # Run on first, because the leader commits a version when c does not respond, too.
     node.run(4000)
     node.replica.apply_pending()
     node.replica.committed = (0, 0)
--- a/features/steps/credit_steps.py
+++ b/features/steps/credit_steps.py
@@ -113,7 +113,7 @@
 # -- proxies that are idle -------------------------------------------------------
 
 
-@behave.when('an idle proxy asks for credit first, and one with {count:d} waiting asks after it')
+@behave.when('an idle proxy asks for credit first, and one with {count:d} waiting requests asks after it')
 def idle_proxy_asks_first(context, count: int):
     context.wanted = count
     assert context.pool.request('idle', 1, is_idle=True) == {'e0': 1}
--- a/features/steps/open_choice_steps.py
+++ b/features/steps/open_choice_steps.py
@@ -141,18 +141,18 @@
 
 @behave.when('e0 takes {first_ms:d} ms and e1 takes {second_ms:d} ms, and {count:d} requests arrive, {gap:d} ms apart')
 def endpoints_differ_in_speed(context, first_ms: int, second_ms: int, count: int, gap: int):
-    proxy, pending_replies = context.proxy, []
+    proxy, pending_responses = context.proxy, []
     latency = {'e0': ms(first_ms), 'e1': ms(second_ms)}
     for _ in range(count):
         proxy.request()
-        pending_replies += [(proxy.now + latency[fetch.incarnation], fetch) for fetch in proxy.fetches()]
+        pending_responses += [(proxy.now + latency[fetch.incarnation], fetch) for fetch in proxy.fetches()]
         proxy.effects.clear()
         until = proxy.now + ms(gap)
-        for time, fetch in sorted(pending_replies, key=lambda pending: pending[0]):
+        for time, fetch in sorted(pending_responses, key=lambda pending: pending[0]):
             if time <= until:
                 proxy.now = max(proxy.now, time)
                 proxy.reply(fetch)
-        pending_replies = [pending for pending in pending_replies if pending[0] > until]
+        pending_responses = [pending for pending in pending_responses if pending[0] > until]
         proxy.run(0)
         proxy.now = until
 
@@ -174,17 +174,19 @@
 
 @behave.when('e0 stops responding, and {count:d} requests arrive, {gap:d} ms apart')
 def endpoint_stops_responding(context, count: int, gap: int):
-    proxy, pending_replies = context.proxy, []
+    proxy, pending_responses = context.proxy, []
     place_in_two_zones(proxy)
     for _ in range(count):
         proxy.request()
-        pending_replies += [(proxy.now + ms(FAST_MS), fetch) for fetch in proxy.fetches() if fetch.incarnation == 'e1']
+        pending_responses += [
+            (proxy.now + ms(FAST_MS), fetch) for fetch in proxy.fetches() if fetch.incarnation == 'e1'
+        ]
         proxy.effects.clear()
         proxy.run(gap)
-        for time, fetch in pending_replies:
+        for time, fetch in pending_responses:
             if time <= proxy.now:
                 proxy.reply(fetch)
-        pending_replies = [pending for pending in pending_replies if pending[0] > proxy.now]
+        pending_responses = [pending for pending in pending_responses if pending[0] > proxy.now]
 
 
 @behave.then('e0 has been sent no more than {most:d} of them, and e1 the rest')
--- a/features/steps/open_endpoint_client_steps.py
+++ b/features/steps/open_endpoint_client_steps.py
@@ -1,4 +1,4 @@
-"""Steps of open.feature: endpoints on real connections whose responses break HTTP, or are not theirs to send."""
+"""Steps of open.feature: endpoints that send malformed, misdirected or unsolicited responses on real connections."""
 
 import collections.abc
 
--- a/features/steps/orders_evacuation_steps.py
+++ b/features/steps/orders_evacuation_steps.py
@@ -14,7 +14,7 @@
 import zinctrail.runtime.durations as durations
 
 ms = durations.ms
-CELL = 'r0/c0'
+ZONE = 'r0/c0'
 # How long an operator waits for a response.
 RESPONSE_TIMEOUT = ms(1000)
 NO_RESPONSE = 0
@@ -29,15 +29,15 @@
 def send_evacuation(context, node, is_on, wait=RESPONSE_TIMEOUT):
     """Request an evacuation, or its withdrawal, from a node; return a list to which the status will be added."""
     statuses = []
-    body = json.dumps({'cell': CELL, 'on': is_on}).encode()
+    body = json.dumps({'cell': ZONE, 'on': is_on}).encode()
     response = context.world.fetch('operator', node.location.http, 'POST', '/v1/cell/empty', {}, body, wait)
     response.addCallback(lambda result: statuses.append(NO_RESPONSE if result.fault else result.status))
     return statuses
 
 
-def is_evacuated(context, cell=CELL):
+def is_evacuated(context, zone=ZONE):
     """True if a zone is evacuated in the leader's state."""
-    return bool((context.world.leader().machine.replica.get('cells', cell) or {}).get('emptied'))
+    return bool((context.world.leader().machine.replica.get('cells', zone) or {}).get('emptied'))
 
 
 def retry_until_acknowledged(context, node, is_on):
@@ -66,7 +66,7 @@
         if words == ['new', 'master']:
             context.node.lead_anew()
             continue
-        arguments = {'cell': CELL, 'on': words[0] == 'on'}
+        arguments = {'cell': ZONE, 'on': words[0] == 'on'}
         if len(words) == 2:
             name, number = words[1].split(':')
             arguments.update(id=name, number=int(number))
@@ -76,7 +76,7 @@
 @behave.then('the zone is {state} and the responses were {responses}')
 def zone_has_state_after_responses(context, state: str, responses: str):
     assert ', '.join(str(status) for status in context.statuses) == responses, context.statuses
-    row = context.node.machine.replica.latest('cells', CELL) or {}
+    row = context.node.machine.replica.latest('cells', ZONE) or {}
     assert bool(row.get('emptied')) == (state == 'evacuated'), row
 
 
@@ -123,9 +123,9 @@
 def evacuations_are_requested_at_once(context):
     nodes = context.world.of('core')
     context.statuses = []
-    context.cells = context.deployment.cells[:2]
+    context.zones = context.deployment.cells[:2]
     for number in range(CONCURRENT_COMMANDS):
-        body = json.dumps({'cell': context.cells[number % 2], 'on': True}).encode()
+        body = json.dumps({'cell': context.zones[number % 2], 'on': True}).encode()
         address = nodes[number % len(nodes)].location.http
         response = context.world.fetch(
             f'operator{number}', address, 'POST', '/v1/cell/empty', {}, body, RESPONSE_TIMEOUT
@@ -137,7 +137,7 @@
 @behave.then('each is acknowledged and both zones are evacuated')
 def evacuations_are_acknowledged(context):
     assert context.statuses == [200] * CONCURRENT_COMMANDS, context.statuses
-    assert all(is_evacuated(context, cell) for cell in context.cells)
+    assert all(is_evacuated(context, zone) for zone in context.zones)
 
 
 @behave.given('a small core of open traffic whose leader does not know evacuation commands')
@@ -161,7 +161,7 @@
 
 # -- over real sockets -----------------------------------------------------------
 
-ZONE = 'z1'
+EDGE_ZONE = 'z1'
 
 
 def mode_of(node):
@@ -186,10 +186,10 @@
     context.stopped.signal(signal.SIGSTOP)
     host, _, port = context.stopped.control.rpartition(':')
     with socket.create_connection((host, int(port)), 5) as connection:
-        connection.sendall(f'POST /v1/evacuation/{ZONE} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n'.encode())
+        connection.sendall(f'POST /v1/evacuation/{EDGE_ZONE} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n'.encode())
 
     def is_withdrawn():
-        return http_calls.call(others[0].control, 'DELETE', f'/v1/evacuation/{ZONE}').status == 200
+        return http_calls.call(others[0].control, 'DELETE', f'/v1/evacuation/{EDGE_ZONE}').status == 200
 
     processes.wait_until(is_withdrawn, 'the withdrawal')
 
@@ -203,5 +203,5 @@
         )
     # A change through the node that continued is applied after every request that waited in its sockets.
     assert context.deployment.call_control('POST', '/v1/numbers/n1').status == 200
-    cells = http_calls.call(context.stopped.internal, 'GET', '/v1/copy').document['tables'].get('cells', {})
-    assert not any(row.get('emptied') for row in cells.values()), cells
+    zones = http_calls.call(context.stopped.internal, 'GET', '/v1/copy').document['tables'].get('cells', {})
+    assert not any(row.get('emptied') for row in zones.values()), zones
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -10,7 +10,7 @@
 
 KEY, GROUP = 'g.k', 'g.'
 NUMBER = 'n'
-ZONE = operation_cases.CELL
+ZONE = operation_cases.ZONE
 BATCH_MS = 100
 PUTS_PER_BATCH = 4
 STEPS_PER_BATCH = 250
--- a/features/support/late_calls.py
+++ b/features/support/late_calls.py
@@ -11,7 +11,7 @@
 import zinctrail.simulation.world as world
 
 ms = durations.ms
-CELL = 'r0/c0'
+ZONE = 'r0/c0'
 CALL_TIMEOUT = ms(1000)
 # The statuses that complete a command; after any other a caller retries it.
 FINAL_STATUSES = (200, 409, 410)
@@ -85,7 +85,7 @@
         self.response = json.loads(response.body)
         self.acknowledged = self.command
         self.check_effect()
-        # Longer than a delayed frame is still accepted.
+        # Longer than the time for which a delayed frame is still accepted.
         self.world.after(ms(self.rng.uniform(2200, 4000)), self.send_next)
 
     def check_effect(self) -> None:
@@ -107,12 +107,12 @@
     """Yield commands that evacuate a zone and withdraw that, in turn."""
     while True:
         for is_on in (True, False):
-            yield Command('/v1/cell/empty', {'cell': CELL, 'on': is_on}, functools.partial(is_emptied_as, is_on))
+            yield Command('/v1/cell/empty', {'cell': ZONE, 'on': is_on}, functools.partial(is_evacuated_as, is_on))
 
 
-def is_emptied_as(is_on: bool, state: replica.Replica) -> bool:
+def is_evacuated_as(is_on: bool, state: replica.Replica) -> bool:
     """True if the zone is evacuated, or with `is_on` false, if it is not."""
-    return bool((state.get('cells', CELL) or {}).get('emptied')) == is_on
+    return bool((state.get('cells', ZONE) or {}).get('emptied')) == is_on
 
 
 def locks(caller: Caller) -> collections.abc.Iterator[Command]:
@@ -124,10 +124,10 @@
         # A call that timed out may have acquired the lock again after the acknowledged one, so that the yield frees
         # nothing; but no call may acquire it after the yield's acknowledgement.
         fences: list[int] = []
-        yield Command('/v1/lock/yield', body, functools.partial(nobody_holds_anew, fences))
+        yield Command('/v1/lock/yield', body, functools.partial(is_not_reacquired, fences))
 
 
-def nobody_holds_anew(fences: list[int], state: replica.Replica) -> bool:
+def is_not_reacquired(fences: list[int], state: replica.Replica) -> bool:
     """True if the lock is free, or still has the fence that the first call of this check recorded in `fences`."""
     fence = (state.get('locks', 'l') or {'fence': 0})['fence']
     if not fences:
@@ -161,11 +161,11 @@
     """Yield heartbeats of an endpoint that is ready, drains and leaves, and then of the next one."""
     for life in range(10**6):
         incarnation = f'i{life}'
-        row = {'addr': '10.1.0.1:80', 'service': 's', 'cell': CELL, 'slots': 4}
+        row = {'addr': '10.1.0.1:80', 'service': 's', 'cell': ZONE, 'slots': 4}
         for sequence, state_name in ((1, 'ready'), (2, 'draining')):
             body = dict(row, inc=incarnation, seq=sequence, state=state_name)
             yield Command('/v1/beat', body, functools.partial(is_in_state, incarnation, state_name))
-        yield Command('/v1/leave', {'inc': incarnation}, functools.partial(is_gone, incarnation))
+        yield Command('/v1/leave', {'inc': incarnation}, functools.partial(is_removed, incarnation))
 
 
 def is_in_state(incarnation: str, wanted: str, state: replica.Replica) -> bool:
@@ -173,7 +173,7 @@
     return (state.get('endpoints', incarnation) or {'state': wanted})['state'] == wanted
 
 
-def is_gone(incarnation: str, state: replica.Replica) -> bool:
+def is_removed(incarnation: str, state: replica.Replica) -> bool:
     """True if an endpoint is not registered."""
     return state.get('endpoints', incarnation) is None
 
--- a/features/support/open_traffic_ingress.py
+++ b/features/support/open_traffic_ingress.py
@@ -61,7 +61,7 @@
         reactor_thread.call(lambda: self.server.respond(effects.HttpResponse(request_id, 200, {}, BODY)))
 
     def advance(self, seconds: float) -> None:
-        """Let the server check its connections' timeouts as if so many seconds had passed."""
+        """Let the server check its connections for timeouts as if `seconds` had passed."""
         real = self.server.now
 
         def sweep():
--- a/features/support/operation_cases.py
+++ b/features/support/operation_cases.py
@@ -5,7 +5,7 @@
 
 import features.support.control_node as control_node
 
-CELL = 'r0/c0'
+ZONE = 'r0/c0'
 LOCK = {'name': 'l', 'holder': 'x', 'lease_ms': 5000}
 CLAIM = {'attempt': 1, 'proxy': 'p', 'at': '10.2.0.1:1'}
 # Tables that the leader changes without a caller's operation.
@@ -51,7 +51,7 @@
             'inc': incarnation,
             'addr': '10.1.0.1:80',
             'service': 's',
-            'cell': CELL,
+            'cell': ZONE,
             'slots': 4,
             'seq': sequence,
             'state': state,
@@ -128,8 +128,8 @@
 
 CASES = {
     'cell.empty': OperationCase(
-        lambda leader: {'cell': CELL, 'on': True},
-        lambda leader: leader.operate('cell.empty', cell=CELL, on=False),
+        lambda leader: {'cell': ZONE, 'on': True},
+        lambda leader: leader.operate('cell.empty', cell=ZONE, on=False),
     ),
     'lock.hold': OperationCase(lambda leader: LOCK, OperationLeader.pass_lock_on),
     'lock.take': OperationCase(lambda leader: dict(LOCK, id='t1'), OperationLeader.pass_lock_on),
