--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -26,7 +26,7 @@
 
 
 def request_number(node: control_node.ControlNode, forwards: int) -> None:
-    """Send a caller's request for a number to the node, which forwards it to b `forwards` times; 0: it has no leader."""
+    """Send a number request to the node, which forwards it to b `forwards` times; with 0 it has no leader."""
     if forwards == 0:
         node.machine.lose_leader('test')
     node.feed('http', 1, effects.HttpRequest('POST', '/v1/number/step', {}, b'{"name": "n"}'))
@@ -172,7 +172,7 @@
 
 
 def send_heartbeat(node: control_node.ControlNode, incarnation: str, sequence: int, words: list[str]) -> None:
-    """Send an endpoint's heartbeat; `words` may hold its state, `cold`, and `at` with the endpoint whose address it has."""
+    """Send a heartbeat; `words` may hold the state, `cold`, and `at` with the endpoint whose address it has."""
     address = ADDRESSES[words[2]] if 'at' in words else ADDRESSES[incarnation]
     result = node.operate(
         'beat',
@@ -385,7 +385,7 @@
 @behave.when('b is started again from its disk and {duration_ms:d} ms go by')
 def member_restarts_from_disk(context, duration_ms: int):
     node = context.node
-    # Run on first, because c does not respond, and its removal commits a version, too.
+    # Run on first, because the leader commits a version when c does not respond, too.
     node.run(4000)
     node.replica.apply_pending()
     node.replica.committed = (0, 0)
--- a/features/steps/repeated_orders_steps.py
+++ b/features/steps/repeated_orders_steps.py
@@ -10,7 +10,7 @@
 
 KEY, GROUP = 'g.k', 'g.'
 NUMBER = 'n'
-ZONE = operation_cases.CELL
+ZONE = operation_cases.ZONE
 BATCH_MS = 100
 PUTS_PER_BATCH = 4
 STEPS_PER_BATCH = 250
@@ -121,7 +121,7 @@
 
 
 def zone_commands(first: int, count: int) -> list[dict]:
-    """Return commands that evacuate the zone and withdraw that, in turn; each is based on the number of the one before."""
+    """Return commands that evacuate the zone and withdraw that, in turn, each based on the one before."""
     return [
         {'cell': ZONE, 'on': number % 2 == 1, 'id': f'other.{number}', 'number': 1 + number}
         for number in range(first, first + count)
