--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -41,7 +41,7 @@
     simulated = context.world
     old_leader, stopped_at = simulated.leader(), simulated.now
     old_leader.feed('stop')
-    successor = next(text for _, text in old_leader.logs if 'as the next leader' in text).split()[2]
+    successor = next(text for _, text in old_leader.logs if 'successor' in text).split()[2]
     assert simulated.run(ms(2000), lambda: simulated.leader() not in (None, old_leader))
     context.gap = simulated.now - stopped_at
     context.successor_leads = simulated.leader().machine.node == successor
