--- a/zinctrail/simulation/scale/__init__.py
+++ b/zinctrail/simulation/scale/__init__.py
@@ -1,5 +1,5 @@
-"""Measures what control costs each role, by size of the cluster, on virtual links and virtual time.
+"""Measures the control-plane overhead of each role by cluster size, on simulated links and virtual time.
 
-The command is in `__main__`, the sizes that it measures are in `sweeps`, and
-one measurement is `point` (messages, bytes, processor time) or `memory`.
+The command is in `__main__` and the measured sizes are in `sweeps`. `point`
+measures messages, bytes and processor time; `memory` measures resident memory.
 """
--- a/zinctrail/simulation/scale/__main__.py
+++ b/zinctrail/simulation/scale/__main__.py
@@ -1,17 +1,17 @@
-"""Hollow nodes for docs/CAPACITY.md: what control costs each role, by size.
+"""Hollow nodes for docs/CAPACITY.md: control-plane overhead of each role by cluster size.
 
-  python -m zinctrail.simulation.scale run [SWEEP ...]     measure, into docs/capacity/points.json (all sweeps without a name);
-                                                    --seeds=3, --large=1 (seeds of sizes that take long), --jobs=3,
-                                                    --keep=1 (only what is not there yet)
-  python -m zinctrail.simulation.scale small               one small point, as the test runs it
+  python -m zinctrail.simulation.scale run [SWEEP ...]     measure sweeps (default: all) into docs/capacity/points.json;
+                                                    --seeds=3, --large=1 (seeds for slow sizes), --jobs=3,
+                                                    --keep=1 (measure only points that are not recorded yet)
+  python -m zinctrail.simulation.scale small               measure one small point, as the test does
 
-One process holds all nodes of a point. The real state machines run on virtual
+One process holds all nodes of a point. The real state machines run on simulated
 links and virtual time, with no traffic. Every message is encoded as transport.peer_connections
-encodes it, and counted with its netstring frame; TCP's own bytes are not
-counted. Control nodes, one proxy and one directory are whole: they have their
-own copy of the state, decode what they get, and their processor time is taken.
+encodes it, and counted with its netstring framing; TCP overhead is not
+counted. Control nodes, one proxy and one directory are complete: they have their
+own copy of the state and decode received frames, and their processor time is measured.
 The other proxies and directories are hollow: they share one copy of the state
-and work nothing out of it, but answer every message by the same machine.
+and derive nothing from it, but respond to every message with the same state machine.
 """
 
 import json
@@ -24,25 +24,25 @@
 import zinctrail.simulation.scale.state as state
 import zinctrail.simulation.scale.sweeps as sweeps
 
-# The point that `small` measures.
+# The size and seed of the point that `small` measures.
 SMALL = sizes.Size(nodes=10, killed=1, restarted=1, parted=1, answers=5)
 SMALL_SEED = 1
 
 
 def write_state(size_text: str, path: str) -> None:
-    """Write the state of a size, given as JSON, to a file: `memory` has it made by another process."""
+    """Write the state of a size, given as JSON, to a file; `memory` runs this in a separate process."""
     size = sizes.Size(**json.loads(size_text))
     with open(path, 'w', encoding='utf-8') as file:
         json.dump(state.state_tables(size), file, separators=(',', ':'))
 
 
 def is_option(argument: str) -> bool:
-    """Whether an argument is `--name=value`."""
+    """True if an argument is `--name=value`."""
     return argument.startswith('--') and '=' in argument
 
 
 def main(arguments: list[str]) -> int:
-    """Run one of the commands; returns the exit status."""
+    """Run one of the commands and return the exit status."""
     if arguments[:1] == ['state']:
         write_state(*arguments[1:3])
         return 0
--- a/zinctrail/simulation/scale/hollow.py
+++ b/zinctrail/simulation/scale/hollow.py
@@ -1,8 +1,8 @@
-"""State machines as they run among thousands in one process.
+"""Hollow state machines, light enough to run by the thousand in one process.
 
-A hollow machine shares its copy of the state with all others and works nothing
-out of it, but answers every message as a complete one does. Complete ones
-beside them show what that costs.
+A hollow machine shares its copy of the state with all others and derives nothing
+from it, but responds to every message as a complete one does. The cost of
+deriving data from the state is measured at the complete machines.
 """
 
 import typing
@@ -17,56 +17,57 @@
 
 
 class Hollow(member.Member):
-    """What a hollow machine does otherwise: nothing of its own is worked out of the state."""
+    """Overrides of a member for a hollow machine, which derives nothing from the state."""
 
     def rows_committed(self, rows):
-        """Work out only what a keeper of credit must know."""
-        # A keeper of credit still has to learn its duties; the rest only has to be answered.
+        """Apply rows only if credit duties are assigned."""
+        # A member with credit duties has to learn them; everyone else only has to respond.
         if self.replica.get('duties'):
             self.applied(rows)
 
     def timer_discovery(self):
-        """Probe only as a candidate."""
+        """Send probes only as a candidate."""
         if self.mode == 'candidate':
             super().timer_discovery()
         else:
-            # No more, because nothing is sent, and the complete one shows what iterating over all members costs.
+            # The timer is only set again: nothing would be sent, and the cost of iterating over all members is
+            # measured at the complete machine.
             self.set_timer('discovery', self.settings.probe)
 
     def record_node(self, addr, node='', role='', seen=False):
-        """Remember only control nodes, and strangers."""
+        """Record only control nodes and nodes whose id is unknown."""
         if role == 'core' or not node:
             super().record_node(addr, node, role, seen)
 
 
 class HollowProxy(Hollow, proxy_node.Proxy):
-    """A proxy among thousands."""
+    """A hollow proxy."""
 
 
 class HollowDirectory(Hollow, daemon.Directory):
-    """A directory among thousands."""
+    """A hollow directory."""
 
 
 class WarmVoter(leader_part.LeadingVoter, typing.Protocol):
-    """What WarmUpdates needs of its voter beside what any leader has."""
+    """The voter interface that WarmUpdates needs in addition to that of a leading voter."""
 
     assumes_members_current: bool
 
 
 class WarmUpdates(member_updates.MemberUpdates):
-    """Takes every member to hold the state of the start while its voter `assumes_members_current`."""
+    """Assumes that every member already holds the initial state while its voter `assumes_members_current`."""
 
     voter: WarmVoter
 
     def send_missing(self, peer):
-        """Offer the newest version to a member."""
+        """Send a member the changes that it is missing."""
         if self.voter.assumes_members_current and peer.accepted is None and not peer.is_control_node:
             peer.accepted = state.VERSION
         super().send_missing(peer)
 
 
 class WarmController(controller.Controller):
-    """A control node that does not send the whole state to each member at the start of a point."""
+    """A control node that does not send the full state to each member at the start of a point."""
 
     assumes_members_current = True
     member_updates_type = WarmUpdates
--- a/zinctrail/simulation/scale/losses.py
+++ b/zinctrail/simulation/scale/losses.py
@@ -1,4 +1,4 @@
-"""What it costs that processes are lost, restarted or partitioned, and how long it takes until all is settled."""
+"""Measures the cost of lost, restarted or partitioned processes and the time until the cluster has settled."""
 
 import collections.abc
 import functools
@@ -15,24 +15,24 @@
 
 ms = durations.ms
 
-# A length of time in which an event is expected to be over, and the longest that is waited for it.
+# The expected duration of an event, kept free of epoch changes, and the timeout of the wait for it to settle.
 EVENT_LENGTH = ms(4000)
 SETTLED_LIMIT = ms(60000)
-# Nothing is settled sooner, and it is looked no more often than this.
-FIRST_LOOK = ms(20)
-LOOK_EVERY = ms(10)
+# The cluster never settles sooner than this, so the first poll is after it; later polls are POLL_INTERVAL apart at least.
+FIRST_POLL_AFTER = ms(20)
+POLL_INTERVAL = ms(10)
 
 RESTART_TAKES = ms(500)
 SUCCESSOR_LIMIT = ms(20000)
 
-# A partition: the time in which members notice it, and the time that is measured after that.
+# The time that members get to detect a partition, and the time measured after that.
 PARTITION_NOTICED = ms(3000)
 PARTITION_MEASURED_S = 4
 PARTITION_MEASURED = ms(1000 * PARTITION_MEASURED_S)
 
 
 class RoleCost(typing.TypedDict):
-    """What an event cost one process of a role."""
+    """The cost of an event for one process of a role."""
 
     messages: float
     bytes: float
@@ -40,33 +40,33 @@
 
 
 class EventCost(typing.TypedDict):
-    """What an event cost beyond what the roles spend anyway."""
+    """The cost of an event beyond the quiet rates of the roles."""
 
-    # Until all was settled.
+    # The time until the cluster had settled.
     ms: int
     master: RoleCost
     prox: RoleCost
 
 
 class SettledCheck:
-    """Whether all is settled, looked at no more often than LOOK_EVERY, because it takes a pass over all processes."""
+    """Polls `is_settled` at most once per POLL_INTERVAL, because each poll iterates over all processes."""
 
     def __init__(self, rig: scale_rig.Rig, lost: list[str]):
         self.rig, self.lost = rig, lost
-        self.looked_at = rig.now
+        self.polled_at = rig.now
 
     def __call__(self) -> bool:
-        """Look, unless it was looked a moment ago."""
-        if self.rig.now - self.looked_at < LOOK_EVERY:
+        """True if the cluster has settled; False without a poll if the last one was less than POLL_INTERVAL ago."""
+        if self.rig.now - self.polled_at < POLL_INTERVAL:
             return False
-        self.looked_at = self.rig.now
+        self.polled_at = self.rig.now
         return is_settled(self.rig, self.lost)
 
 
 def is_settled(rig: scale_rig.Rig, lost: list[str]) -> bool:
-    """Whether every member is up with a lease, on routes that no lost node is in.
+    """True if every member is up with a lease and has the newest routes, and no lost node is a member.
 
-    :param lost: the ids of the nodes that are gone.
+    :param lost: the ids of the lost nodes.
     """
     leader = rig.leader()
     if leader is None or leader.machine.replica.accepted != leader.machine.replica.committed:
@@ -74,11 +74,11 @@
     rows = leader.machine.replica.get('members')
     if any(node in rows for node in lost):
         return False
-    return all(follows(process, leader) for process in rig.members())
+    return all(is_current(process, leader) for process in rig.members())
 
 
-def follows(process: scale_process.Process, leader: scale_process.Process) -> bool:
-    """Whether a member has a lease from the leader, and the newest routes in force."""
+def is_current(process: scale_process.Process, leader: scale_process.Process) -> bool:
+    """True if a member has a lease from the leader and the newest routes in force."""
     machine = process.machine
     if not process.is_up or machine.node not in leader.machine.replica.get('members'):
         return False
@@ -89,21 +89,21 @@
 
 
 def measure_event(rig: scale_rig.Rig, quiet: rates.Rates, event: collections.abc.Callable[[], list[str]]) -> EventCost:
-    """Bring an event about and run until all is settled.
+    """Trigger an event, run until the cluster has settled, and return the cost.
 
-    :param quiet: what the roles spend anyway, which is subtracted.
-    :param event: returns the ids of the nodes that are gone for good.
-    :raises AssertionError: if nothing is settled in time.
+    :param quiet: the rates without the event, which are subtracted.
+    :param event: triggers the event and returns the ids of the nodes that are lost for good.
+    :raises AssertionError: if the cluster does not settle within SETTLED_LIMIT.
     """
     rates.avoid_epoch(rig, EVENT_LENGTH)
     before, began = rates.snapshot(rig), rig.now
     lost = event()
-    rig.run(FIRST_LOOK)
+    rig.run(FIRST_POLL_AFTER)
     if not rig.run(SETTLED_LIMIT, SettledCheck(rig, lost)):
-        raise AssertionError('not settled')
+        raise AssertionError(f'cluster not settled within {SETTLED_LIMIT} of virtual time')
     took_ms = durations.to_ms(rig.now - began)
-    # Until whole rounds of heartbeats are over, because the quiet rate that is subtracted comes in rounds, for many
-    # members in every second.
+    # Run to a multiple of two heartbeat rounds, because the quiet rate that is subtracted comes in rounds, and many
+    # members take part only in every second one.
     rounds = rig.settings.check * 2
     rig.run(rounds * (1 + (rig.now - began) // rounds) - (rig.now - began))
     seconds = (rig.now - began).total_seconds()
@@ -116,7 +116,7 @@
 
 
 def extra_cost(found: rates.RoleRates, quiet: rates.RoleRates, seconds: float) -> RoleCost:
-    """What one process of a role spent beyond what it spends anyway."""
+    """Return the cost for one process of a role beyond its quiet rates."""
     return {
         'messages': (found['messages'] - quiet['messages']) * seconds,
         'bytes': (found['bytes'] - quiet['bytes']) * seconds,
@@ -125,7 +125,10 @@
 
 
 def kill_proxies(rig: scale_rig.Rig, count: int) -> list[str]:
-    """End proxies of as few zones as may be at once; returns their ids. Their kernels close their connections."""
+    """Kill hollow proxies of as few zones as possible at once and return their ids.
+
+    Their kernels close their connections.
+    """
     hollow_proxies = [process for process in rig.with_role('prox') if process.is_up and not process.is_complete]
     killed = sorted(hollow_proxies, key=lambda process: (process.zone, process.address))[:count]
     for process in killed:
@@ -135,7 +138,7 @@
 
 
 def restart_proxies(rig: scale_rig.Rig, count: int) -> list[str]:
-    """End proxies that come back, as somebody new each; returns the ids that are gone."""
+    """Kill proxies and restart each under a new id; returns the ids of the killed ones."""
     locations = {process.machine.node: process.machine.location for process in rig.with_role('prox')}
     killed = kill_proxies(rig, count)
     for node in killed:
@@ -146,7 +149,7 @@
 
 
 def kill_leader(rig: scale_rig.Rig) -> list[str]:
-    """End the leader and run until another leads; returns the id of the one that is gone."""
+    """Kill the leader and run until another is elected; returns the id of the killed one."""
     leader = rig.require_leader()
     rig.remove(leader)
     rig.close_connections(leader, rig.processes)
@@ -155,9 +158,9 @@
 
 
 def measure_partition(rig: scale_rig.Rig, quiet: rates.Rates, count: int) -> dict:
-    """Partition proxies from everybody but each other for a while, then heal.
+    """Partition some proxies from all other processes for a while, then heal the partition.
 
-    :returns: 'apart', what each sends a second meanwhile, and 'back', the cost of their return.
+    :returns: 'apart', what each proxy sends per second during the partition, and 'back', the cost of their return.
     """
     partitioned = [process for process in rig.with_role('prox') if not process.is_complete][-count:]
     for process in partitioned:
@@ -175,13 +178,13 @@
 
 
 def heal(rig: scale_rig.Rig) -> list[str]:
-    """End a partition; no node is gone for good."""
+    """Heal the partition; returns an empty list, because no node is lost for good."""
     rig.partitioned = set()
     return []
 
 
 def learn_all_members(rig: scale_rig.Rig, process: scale_process.Process) -> None:
-    """Let a hollow proxy know all members: partitioned, it looks for everybody that a complete one knows."""
+    """Add all members to a hollow proxy's known nodes, because a partitioned complete proxy probes all of them."""
     process.machine.known_nodes = {
         address: discovery.KnownNode('', 'core' if number < rig.size.cores else 'prox', None, rig.now)
         for number, address in enumerate(rig.addresses)
@@ -190,7 +193,7 @@
 
 
 def sent_by(processes: list[scale_process.Process]) -> tuple[int, int]:
-    """(messages, bytes) that processes have sent."""
+    """Return (messages, bytes) sent by processes so far."""
     return (
         sum(process.counts['out'] for process in processes),
         sum(process.counts['out_bytes'] for process in processes),
--- a/zinctrail/simulation/scale/memory.py
+++ b/zinctrail/simulation/scale/memory.py
@@ -1,4 +1,4 @@
-"""The memory of one process of a role that holds a state, each measured in a process of its own."""
+"""Measures the memory of a process that holds a state, one role at a time, each in a fresh process."""
 
 import concurrent.futures
 import dataclasses
@@ -22,13 +22,13 @@
 
 MIB = 1 << 20
 ROLES = ('master', 'prox')
-# Who the measured process is among the members of the state.
+# The numbers of the measured processes among the members of the state.
 LEADER_NUMBER, PROXY_NUMBER = 0, 9
 LEADER_NODE = '0' * 16
 
 
 def measure_memory(size: sizes.Size, seed: int) -> dict:
-    """Resident MB of one process of each role that was sent this state over the wire, by processes of its own."""
+    """Measure the resident memory, in MB, of one new process per role that holds the state of a size."""
     point = {'size': dataclasses.asdict(size), 'seed': seed}
     for role in ROLES:
         with concurrent.futures.ProcessPoolExecutor(1, multiprocessing.get_context('spawn')) as pool:
@@ -37,8 +37,8 @@
 
 
 def measure_role(role: str, size: sizes.Size) -> dict[str, float]:
-    """The memory of this process, in MB: before it holds the state, with it, and the most that it ever had."""
-    import zinctrail.transport.host  # noqa: F401  Imported here, because what a real process loads counts as its memory.
+    """Return the resident memory of this process, in MB: before it holds the state, with it, and the peak."""
+    import zinctrail.transport.host  # noqa: F401  Imported because modules of a real process count as its memory.
 
     base_mb = resident_mb()
     tables = tables_from_other_process(size)
@@ -47,7 +47,7 @@
         machine = proxy_with(tables)
     else:
         snapshot = leader_snapshot(tables)
-        # Let go, because a real process never had it but as text.
+        # Released, because a real process only ever had the snapshot as text.
         del tables
         machine = leader_with(snapshot)
         del snapshot
@@ -63,29 +63,29 @@
 
 
 def resident_mb() -> float:
-    """The resident memory of this process."""
+    """Return the resident memory of this process in MB."""
     with open('/proc/self/statm') as file:
         pages = int(file.read().split()[1])
     return pages * resource.getpagesize() / MIB
 
 
 def tables_from_other_process(size: sizes.Size) -> state.Tables:
-    """The state, made by another process, so that what makes it does not count as memory of this one."""
+    """Return the state, built by another process so that building it does not add to the memory of this one."""
     with tempfile.NamedTemporaryFile() as file:
-        text_of_size = json.dumps(dataclasses.asdict(size))
-        command = [sys.executable, '-m', 'zinctrail.simulation.scale', 'state', text_of_size, file.name]
+        size_json = json.dumps(dataclasses.asdict(size))
+        command = [sys.executable, '-m', 'zinctrail.simulation.scale', 'state', size_json, file.name]
         subprocess.run(command, check=True)
         with open(file.name) as text:
             return json.loads(text.read())
 
 
 def location(number: int) -> node_location.NodeLocation:
-    """Where the measured process is."""
+    """Return the location of the measured process."""
     return node_location.NodeLocation(state.process_address(number), '10.0.0.0:7001', 'r0/z0', [], directory=True)
 
 
 def proxy_with(tables: state.Tables) -> proxy_node.Proxy:
-    """A proxy that was sent the state and has it in force."""
+    """Return a proxy that received the state from a leader and has it in force."""
     machine = proxy_node.Proxy(location(PROXY_NUMBER), settings.Settings(), random.Random(1))
     machine.cluster = state.CLUSTER
     machine.feed('start', durations.ZERO)
@@ -106,13 +106,13 @@
 
 
 def leader_snapshot(tables: state.Tables) -> str:
-    """The snapshot of the state in a cluster of one voter, which can lead alone."""
+    """Return a snapshot of the state with a single voter, which can elect itself leader."""
     tables['meta']['vc'] = {'committed': [LEADER_NODE], 'accepted': [LEADER_NODE]}
     return storage.encode({'term': state.VERSION[0], 'gen': state.VERSION[1], 'tables': tables})
 
 
 def leader_with(snapshot: str) -> controller.Controller:
-    """A control node that found the snapshot on its disk, and leads."""
+    """Return a control node that loaded the snapshot from its disk and leads."""
     files = {
         'node': storage.encode({'id': LEADER_NODE, 'format': storage.FORMAT}),
         'term': storage.encode({'term': 1, 'vote': None}),
--- a/zinctrail/simulation/scale/point.py
+++ b/zinctrail/simulation/scale/point.py
@@ -1,4 +1,4 @@
-"""One point: all figures of a cluster of one size, under one seed."""
+"""Measures one point: all figures of a cluster of one size with one seed."""
 
 import collections.abc
 import dataclasses
@@ -19,13 +19,13 @@
 
 Point = dict[str, typing.Any]
 
-# The tables that every member holds; control nodes hold the others too.
+# The tables that every member holds; control nodes also hold the others.
 ROUTING_TABLES = ('meta', 'conf', 'items', 'cells', 'endpoints', 'members', 'duties')
-# How often the time of a proxy's work is taken; the least counts.
+# How often a proxy's processor time is measured; the minimum counts.
 REPEATS = 3
 NANOSECONDS_PER_MS = 1e6
 
-# Workloads that only some sizes have, by the size's field that counts them.
+# Optional workloads, by the field of the size that holds their count.
 WORKLOADS: dict[str, collections.abc.Callable[[scale_rig.Rig, int], None]] = {
     'claims': workloads.schedule_claims,
     'answers': workloads.schedule_resolutions,
@@ -37,7 +37,7 @@
 
 
 def measure_point(size: sizes.Size, seed: int) -> Point:
-    """All figures of one size and seed, as docs/capacity/points.json holds them."""
+    """Measure all figures of one size and seed, in the format of docs/capacity/points.json."""
     rig = scale_rig.Rig(size, seed)
     rig.start()
     if size.endpoints:
@@ -53,7 +53,7 @@
 
 
 def measure_workloads(rig: scale_rig.Rig) -> Point:
-    """The rates while rules are changed, and under each other workload of the size."""
+    """Measure the rates while rules are changed and under each optional workload of the size."""
     in_force_ms: list[int] = []
     changes = functools.partial(workloads.schedule_changes, rig, rig.size.changes, in_force_ms)
     point: Point = {'changed': rates.measure_window(rig, changes), 'in_force_ms': sorted(in_force_ms)}
@@ -67,7 +67,7 @@
 
 
 def measure_state(rig: scale_rig.Rig) -> Point:
-    """How large the state is, and what it takes to encode it and to work with it."""
+    """Measure the size of the state and the processor time to encode it and to route with it."""
     leader, proxy = rig.require_leader(), rig.complete('prox')
     tables = leader.machine.replica.tables
     point: Point = {
@@ -83,7 +83,7 @@
 
 
 def measure_losses(rig: scale_rig.Rig, quiet: rates.Rates) -> Point:
-    """What each loss of the size costs; that of the leader comes last."""
+    """Measure the cost of each kind of loss that the size asks for; the leader is killed last."""
     size = rig.size
     point: Point = {}
     for name, lose in LOSSES.items():
@@ -98,12 +98,12 @@
 
 
 def routing_tables(tables: state.Tables) -> state.Tables:
-    """The tables that every member holds."""
+    """Return the tables that every member holds."""
     return {name: rows for name, rows in tables.items() if name in ROUTING_TABLES}
 
 
 def rows_and_bytes(tables: state.Tables) -> dict[str, int]:
-    """How many rows there are, and how many bytes of JSON they are."""
+    """Return the number of rows and the bytes of the tables as JSON."""
     return {
         'rows': sum(len(rows) for rows in tables.values()),
         'bytes': len(json.dumps(tables, separators=(',', ':'))),
@@ -111,7 +111,7 @@
 
 
 def encode_routes(leader: scale_process.Process) -> tuple[int, float]:
-    """(bytes of the routes as the one frame that a newcomer is sent, ms of processor time to encode it)"""
+    """Return (bytes of the frame that sends all routes to a new node, ms of processor time to encode it)."""
     began = time.thread_time_ns()
     machine = leader.machine
     message = messages.Publish(
@@ -125,7 +125,7 @@
 
 
 def routing_ms(machine) -> float:
-    """Processor time, in ms, of what a proxy works out of its routes once a version, and of one match after that."""
+    """Return the processor time, in ms, to build a proxy's route index (once per version) and match one request."""
     times_ms = []
     for _ in range(REPEATS):
         machine.routes.invalidate()
--- a/zinctrail/simulation/scale/process.py
+++ b/zinctrail/simulation/scale/process.py
@@ -1,4 +1,4 @@
-"""One of our processes in a measured cluster: it hosts a state machine and counts what that sends, gets and spends."""
+"""A process in a measured cluster: hosts a state machine and counts its messages, bytes and processor time."""
 
 import collections
 import collections.abc
@@ -11,23 +11,23 @@
 
 
 class Process:
-    """A state machine with its counts.
+    """Holds a state machine and its counts.
 
-    :param rig: the cluster (`rig.Rig`), which has the clock and carries frames.
-    :param is_complete: whether it has its own copy of the state and decodes what it gets.
+    :param rig: the cluster (`rig.Rig`), which has the clock and delivers frames.
+    :param is_complete: True if the machine has its own copy of the state and decodes received frames.
     """
 
     def __init__(self, rig, role: str, machine, is_complete: bool):
         self.rig, self.role, self.machine, self.is_complete = rig, role, machine, is_complete
         self.address = machine.location.addr
         self.zone = machine.location.cell
-        # The real connections, connected to nothing, because what they encode is what is counted.
+        # The real encoder of frames, without any connection: the size of its output is counted.
         self.connections = peer_connections.PeerConnections(
             None, rig.settings.frame_most, lambda frame: None, lambda address: None
         )
         self.is_up = False
         self.wake_at: datetime.timedelta | None = None
-        # Messages, bytes, writes, fetches and heartbeats of endpoints, by name.
+        # Counts of messages, bytes, writes, fetches and endpoint heartbeats, by name.
         self.counts: collections.Counter[str] = collections.Counter()
         # Frames sent, by kind.
         self.frame_kinds: collections.Counter[str] = collections.Counter()
@@ -35,7 +35,7 @@
         self.responses: dict[int, effects.HttpResponse] = {}
 
     def feed(self, kind: str, *arguments) -> None:
-        """Feed an input to the machine and carry out its effects; a process that is down gets nothing."""
+        """Feed an input to the machine and carry out its effects; does nothing if the process is down."""
         if not self.is_up:
             return
         began = time.thread_time_ns()
@@ -47,10 +47,10 @@
         self.set_wake_up()
 
     def receive(self, frame: dict, data: bytes | None, size: int) -> None:
-        """A frame arrives.
+        """Receive a frame; does nothing if the process is down.
 
-        :param data: the frame as encoded, for a complete process; None for others.
-        :param size: its bytes on the wire.
+        :param data: the encoded frame, for a complete process; None for others.
+        :param size: the bytes of the frame on the wire.
         """
         if not self.is_up:
             return
@@ -63,7 +63,7 @@
         self.feed('recv', frame)
 
     def decode(self, data: bytes) -> dict:
-        """The frame of its encoded form, packed or not."""
+        """Decode a frame, compressed or not."""
         if data[:1] == peer_connections.COMPRESSED:
             data = peer_connections.decompress_frame(data, self.rig.settings.frame_most)
         return json.loads(data)
@@ -84,16 +84,16 @@
     # -- effects -----------------------------------------------------------
 
     def do_send(self, effect: effects.Send) -> None:
-        """Have a frame carried."""
+        """Pass a frame to the rig for delivery."""
         self.rig.carry(self, effect.address, effect.frame, effect.may_compress)
 
     def do_response(self, effect: effects.HttpResponse) -> None:
-        """Keep a response for its caller."""
+        """Store a response by request id."""
         self.counts['http_out_bytes'] += len(effect.body)
         self.responses[effect.request_id] = effect
 
     def do_write(self, effect: effects.Write) -> None:
-        """Count a write."""
+        """Count a write and its bytes."""
         self.counts['writes'] += 1
         self.counts['write_bytes'] += len(effect.text)
 
@@ -102,15 +102,15 @@
         self.counts['write_bytes'] += len(effect.text)
 
     def do_commit_chunks(self, effect: effects.CommitChunks) -> None:
-        """Count the chunks of a file as one write."""
+        """Count the file that the chunks make up as one write."""
         self.counts['writes'] += 1
 
     def do_fetch(self, effect: effects.HttpFetch) -> None:
-        """Count a call."""
+        """Count an outgoing HTTP request."""
         self.counts['fetches'] += 1
 
 
-# Effects of other types cost nothing that is counted here.
+# Handlers by effect type; effects of other types are not counted.
 EFFECTS: dict[type, collections.abc.Callable] = {
     effects.Send: Process.do_send,
     effects.HttpResponse: Process.do_response,
--- a/zinctrail/simulation/scale/rates.py
+++ b/zinctrail/simulation/scale/rates.py
@@ -1,4 +1,4 @@
-"""What each role sends, gets and spends a second, over a window of virtual time."""
+"""Measures messages, bytes and processor time per second of each role, over a window of virtual time."""
 
 import collections
 import collections.abc
@@ -12,18 +12,18 @@
 ms = durations.ms
 
 WINDOW = ms(4000)
-# What is done in a window is done early enough that its consequences are within it.
+# Actions are scheduled in this part of a window, so that their consequences fall within the window.
 WINDOW_FOR_ACTIONS = WINDOW - ms(1000)
-# How near to an epoch's step nothing is measured, and how long after it.
+# No measurement runs this close to the next epoch change, or this soon after one.
 EPOCH_MARGIN = ms(400)
-AFTER_EPOCH = ms(500)
+EPOCH_SETTLING_TIME = ms(500)
 EPOCH_LIMIT = ms(12000)
 
 ROLES = ('master', 'follower', 'dir', 'prox')
 
 
 class RoleRates(typing.TypedDict):
-    """A second, of one process of a role: the mean over its processes; processor time of the complete ones."""
+    """Rates per second and process of a role: the mean of its processes; `cpu_ms` only of the complete ones."""
 
     messages: float
     bytes: float
@@ -40,7 +40,7 @@
 
 
 class Counts(typing.NamedTuple):
-    """What a process has counted up to a moment."""
+    """The counts of a process at one moment."""
 
     counts: collections.Counter[str]
     frame_kinds: collections.Counter[str]
@@ -53,7 +53,7 @@
 
 
 def snapshot(rig: scale_rig.Rig) -> Snapshot:
-    """The counts of all processes now."""
+    """Return the current counts of all processes."""
     return {
         process: Counts(collections.Counter(process.counts), collections.Counter(process.frame_kinds), process.cpu_ns)
         for process in rig.processes
@@ -61,7 +61,7 @@
 
 
 def processes_of(rig: scale_rig.Rig, role: str) -> list[scale_process.Process]:
-    """The processes of a role of ROLES that are up; of the control nodes one is the leader, the others follow."""
+    """Return the processes of a role in ROLES that are up; control nodes are split into leader and followers."""
     up = [process for process in rig.processes if process.is_up]
     leader = rig.leader()
     if role == 'master':
@@ -72,7 +72,7 @@
 
 
 def rates_since(rig: scale_rig.Rig, before: Snapshot, seconds: float) -> Rates:
-    """The rates of each role since a snapshot; a role without processes is left out."""
+    """Return the rates of each role since a snapshot; a role without processes is omitted."""
     found = {}
     for role in ROLES:
         processes = processes_of(rig, role)
@@ -82,7 +82,7 @@
 
 
 def role_rates(processes: list[scale_process.Process], before: Snapshot, seconds: float) -> RoleRates:
-    """The rates of one process of a role."""
+    """Return the mean rates of one process of a role."""
     counted: collections.Counter[str] = collections.Counter()
     kinds: collections.Counter[str] = collections.Counter()
     cpu_ns = complete = 0
@@ -109,7 +109,7 @@
 
 
 def measure_window(rig: scale_rig.Rig, action: collections.abc.Callable[[], None] | None = None) -> Rates:
-    """The rates over a window without an epoch's step, with what `action` schedules in it."""
+    """Measure the rates over a window without an epoch change, in which `action` may schedule work."""
     avoid_epoch(rig, WINDOW)
     before = snapshot(rig)
     if action is not None:
@@ -119,14 +119,14 @@
 
 
 def avoid_epoch(rig: scale_rig.Rig, length: datetime.timedelta) -> None:
-    """Run on to where no epoch's step comes for so long.
+    """Run past the next epoch change, if one is due within `length`.
 
-    :raises AssertionError: if the step that was due did not come.
+    :raises AssertionError: if the epoch does not change within EPOCH_LIMIT.
     """
     machine = rig.require_leader().machine
     began = machine.epochs.began_at
     if rig.now + length <= began + machine.settings.epoch - EPOCH_MARGIN:
         return
     if not rig.run(EPOCH_LIMIT, lambda: machine.epochs.began_at != began):
-        raise AssertionError('no epoch came')
-    rig.run(AFTER_EPOCH)
+        raise AssertionError(f'no epoch change within {EPOCH_LIMIT} of virtual time')
+    rig.run(EPOCH_SETTLING_TIME)
--- a/zinctrail/simulation/scale/records.py
+++ b/zinctrail/simulation/scale/records.py
@@ -1,4 +1,4 @@
-"""Where measured figures are kept: the JSON files in docs/capacity."""
+"""Loads and saves measured figures: the JSON files in docs/capacity."""
 
 import json
 import os
@@ -7,12 +7,12 @@
 POINTS = f'{FOLDER}/points.json'
 LOOPBACK = f'{FOLDER}/loopback.json'
 
-# A recorded number has this many significant figures.
+# Significant figures of a recorded number.
 FIGURES = 5
 
 
 def load(path: str = POINTS) -> dict:
-    """What a file holds; nothing where there is none yet."""
+    """Return the content of a file; an empty dict if it does not exist."""
     try:
         with open(path, encoding='utf-8') as file:
             return json.load(file)
@@ -21,7 +21,7 @@
 
 
 def save(document: dict, path: str = POINTS) -> None:
-    """Replace a file at once, with its numbers rounded."""
+    """Replace a file atomically, with its numbers rounded."""
     os.makedirs(os.path.dirname(path), exist_ok=True)
     with open(path + '.tmp', 'w', encoding='utf-8') as file:
         json.dump(rounded(document), file, indent=1)
@@ -30,7 +30,7 @@
 
 
 def rounded(value):
-    """A JSON value with every fraction in it rounded."""
+    """Return a JSON value with every float in it rounded."""
     if isinstance(value, float):
         return float(f'{value:.{FIGURES}g}')
     if isinstance(value, dict):
--- a/zinctrail/simulation/scale/runner.py
+++ b/zinctrail/simulation/scale/runner.py
@@ -1,4 +1,4 @@
-"""Measures the points of sweeps, each in a process of its own, and records each as soon as it is there."""
+"""Measures the points of sweeps, each in a separate process, and saves each point as soon as it is measured."""
 
 import concurrent.futures
 import dataclasses
@@ -18,12 +18,12 @@
 class Options:
     """The options of the command."""
 
-    # Seeds of a size, and of one that takes long.
+    # The number of seeds per size, and per large size.
     seeds: int = 3
     large: int = 1
     # Points measured at the same time.
     jobs: int = 3
-    # Whether points that are on record stay, and are not measured again.
+    # 1: recorded points are retained and not measured again.
     keep: int = 0
 
 
@@ -36,7 +36,7 @@
 
 
 class Measured(typing.NamedTuple):
-    """A point with the real time that it took."""
+    """A measured point and the real time that the measurement took."""
 
     sweep: str
     point: dict
@@ -52,7 +52,7 @@
 
 
 def plan(names: list[str], options: Options) -> list[Task]:
-    """All points of some sweeps, the large ones first, because the last one to end decides how long it takes."""
+    """Return all points of some sweeps, the large ones first, because the last one to end decides the total time."""
     tasks = [
         Task(name, size, seed)
         for name in names
@@ -63,7 +63,7 @@
 
 
 def run(names: list[str], options: Options) -> None:
-    """Measure sweeps, all without a name, into docs/capacity/points.json."""
+    """Measure sweeps (all, if none is named) into docs/capacity/points.json."""
     names = names or list(sweeps.ALL)
     document = records.load()
     for name in names:
@@ -81,7 +81,7 @@
 
 
 def record(document: dict, measured: Measured) -> None:
-    """Add a point to its sweep, by size and seed, and save all."""
+    """Add a point to its sweep, sorted by size and seed, and save the document."""
     points = document[measured.sweep]
     points.append(measured.point)
     points.sort(key=lambda point: (list(point['size'].values()), point['seed']))
@@ -89,7 +89,7 @@
 
 
 def report(measured: Measured) -> None:
-    """Print a line for a point."""
+    """Print a point's size, seed, duration and memory on one line."""
     point = measured.point
     print(
         f'{datetime.datetime.now():%H:%M:%S} {measured.sweep} {point["size"]["nodes"]} nodes seed {point["seed"]}:'
--- a/zinctrail/simulation/scale/state.py
+++ b/zinctrail/simulation/scale/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of a cluster of a given size, as a snapshot holds it."""
+"""Generates the replicated state of a cluster of a given size, in the format of a snapshot."""
 
 import typing
 
@@ -9,24 +9,24 @@
 Tables = dict[str, dict[str, Row]]
 
 CLUSTER = 'c' * 32
-# The version of the state, and of the routes in it, at the start: (term, number).
+# The initial version of the state and of its routes: (term, number).
 VERSION = (1, 2)
 
 RULE_HOSTS = 997
 
 
 def process_address(number: int) -> str:
-    """The address of one of our processes, by its number in the cluster."""
+    """Return the address of a process by its number in the cluster."""
     return f'10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7000'
 
 
 def http_address(address: str) -> str:
-    """Where the process at an address serves HTTP."""
+    """Return the HTTP address of the process at a peer address."""
     return address.rpartition(':')[0] + ':7001'
 
 
 def member_row(role: str, number: int, zones: list[str]) -> Row:
-    """The row of a member."""
+    """Return the row of a member."""
     address = process_address(number)
     row: Row = {
         'role': role,
@@ -41,7 +41,7 @@
 
 
 def endpoint_row(number: int, services: int, zones: list[str]) -> Row:
-    """The row of an endpoint that is ready."""
+    """Return the row of an endpoint that is ready."""
     return {
         'addr': f'10.{128 + (number >> 16)}.{number >> 8 & 255}.{number & 255}:8000',
         'service': f'service-{number % services}',
@@ -57,7 +57,7 @@
 
 
 def pool_row(number: int) -> Row:
-    """The row of a pool of open traffic."""
+    """Return the row of a pool of open traffic."""
     return {
         'name': f'service-{number}',
         'version': 1,
@@ -69,7 +69,7 @@
 
 
 def rule_row(number: int, services: int, version: int = 1) -> Row:
-    """The row of a traffic rule."""
+    """Return the row of a traffic rule."""
     return {
         'name': f'route-{number}',
         'version': version,
@@ -84,12 +84,12 @@
 
 
 def tenant_row(number: int) -> Row:
-    """The row of a tenant with its home region."""
+    """Return the row of a tenant with its home region."""
     return {'name': f'tenant-{number}', 'version': 1, 'home': [f'r{number % sizes.TARGET["regions"]}']}
 
 
 def item_rows(size: sizes.Size, services: int) -> dict[str, Row]:
-    """Pools, rules and tenants, as the table of configuration items holds them."""
+    """Return the rows of pools, rules and tenants in the table of configuration items."""
     rows = {f'pools/service-{number}': pool_row(number) for number in range(services)}
     rows.update((f'rules/route-{number}', rule_row(number, services)) for number in range(size.routes))
     rows.update((f'tenants/tenant-{number}', tenant_row(number)) for number in range(size.tenants))
@@ -97,7 +97,7 @@
 
 
 def state_tables(size: sizes.Size) -> Tables:
-    """The whole state at a size, as a snapshot holds it: {table: {key: row}}."""
+    """Return the full state at a size, in the format of a snapshot: {table: {key: row}}."""
     zones = sizes.zone_names(size.nodes)
     roles = ['core'] * size.cores + ['dir'] * size.dirs + ['prox'] * size.nodes
     voters = [f'{number:016x}' for number in range(size.cores)]
