--- a/zinctrail/simulation/capacity/__init__.py
+++ b/zinctrail/simulation/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Writes docs/CAPACITY.md from what was measured; the command is in `__main__`."""
+"""Writes the tables and plots of docs/CAPACITY.md from measured figures; the command is in `__main__`."""
--- a/zinctrail/simulation/capacity/__main__.py
+++ b/zinctrail/simulation/capacity/__main__.py
@@ -1,14 +1,14 @@
-"""Writes docs/CAPACITY.md from what was measured: slopes, their residuals, the target size, plots.
+"""Writes docs/CAPACITY.md from measured figures: slopes, their residuals, projections to the target size, plots.
 
-  python -m zinctrail.simulation.capacity fit      slopes of docs/capacity/points.json and loopback.json, printed and recorded
-  python -m zinctrail.simulation.capacity page     the tables between the marks in docs/CAPACITY.md
-  python -m zinctrail.simulation.capacity plot     docs/capacity/*.svg (needs the extra `plot`)
+  python -m zinctrail.simulation.capacity fit      fit slopes to docs/capacity/points.json and loopback.json, save and print them
+  python -m zinctrail.simulation.capacity page     write the tables between the markers in docs/CAPACITY.md
+  python -m zinctrail.simulation.capacity plot     draw docs/capacity/*.svg (needs the extra `plot`)
 
-A slope is fitted to y = a + b x with every size weighing the same (residuals
-relative), over the medians of the seeds. The residual shown is the largest of
-any size, the spread is the widest of any size's seeds over its median, and
-the exponent is that of the last decade after `a` is taken off; a fit whose
-residual is above 0.15 is called not linear.
+A slope is fitted to y = a + b x over the medians of the seeds, with relative
+residuals, so that every size has the same weight. The residual shown is the
+largest of all sizes. The spread is the range of a size's seeds divided by its
+median, the widest of all sizes. The exponent is that of the last decade after
+`a` is subtracted. A fit whose residual is above 0.15 is called not linear.
 """
 
 import sys
@@ -27,7 +27,7 @@
 # The page whose tables are written.
 PAGE = 'docs/CAPACITY.md'
 
-# The tables by their marks in the page.
+# The functions that make the tables, by the markers in the page.
 TABLES = {
     'mechanisms': mechanisms_table.mechanisms_table,
     'slopes': slopes_table.slopes_table,
@@ -39,7 +39,7 @@
 
 
 def write_page(projection: capacity_projection.Projection) -> None:
-    """Replace the tables between the marks in docs/CAPACITY.md."""
+    """Replace the tables between the markers in docs/CAPACITY.md."""
     with open(PAGE, encoding='utf-8') as file:
         text = file.read()
     for name, make in TABLES.items():
@@ -51,7 +51,7 @@
 
 
 def write_slopes(projection: capacity_projection.Projection) -> None:
-    """Record the slopes and print them."""
+    """Save the slopes and print them."""
     records.save(projection.found, capacity_slopes.SLOPES)
     print(slopes_table.slopes_table(projection))
 
@@ -65,7 +65,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one of the commands; returns the exit status."""
+    """Run one of the commands and return the exit status."""
     if len(arguments) != 1 or arguments[0] not in COMMANDS:
         print(__doc__.strip())
         return 0 if arguments[:1] == ['--help'] else 2
--- a/zinctrail/simulation/capacity/check_table.py
+++ b/zinctrail/simulation/capacity/check_table.py
@@ -1,4 +1,4 @@
-"""The table in docs/CAPACITY.md of what the slopes foretell for sizes that were measured whole."""
+"""The table in docs/CAPACITY.md that compares predictions of the slopes with clusters scaled in all dimensions."""
 
 import zinctrail.simulation.capacity.formats as formats
 import zinctrail.simulation.capacity.projection as capacity_projection
@@ -26,19 +26,19 @@
 }
 
 
-def row(nodes: int, figure: str, foretold: float | None, measured: float) -> tuple:
-    """The row of one figure."""
-    ratio = f'{measured / foretold:.2f}' if foretold else formats.DASH
-    return three_figures(nodes), figure, three_figures(foretold), three_figures(measured), ratio
+def row(nodes: int, figure: str, predicted: float | None, measured: float) -> tuple:
+    """Return the row of one figure."""
+    ratio = f'{measured / predicted:.2f}' if predicted else formats.DASH
+    return three_figures(nodes), figure, three_figures(predicted), three_figures(measured), ratio
 
 
 def size_of(point: Point) -> dict[str, int]:
-    """The size of a point, by dimension."""
+    """Return the size of a point, by dimension."""
     return {dimension: point['size'][dimension] for dimension in capacity_slopes.DIMENSIONS}
 
 
 def point_rows(projection: Projection, point: Point) -> list[tuple]:
-    """The rows of a size."""
+    """Return the rows of a point."""
     size = size_of(point)
     return [
         row(size['nodes'], figure, capacity_projection.figure_at(projection.found, figure, size), value(point))
@@ -47,7 +47,7 @@
 
 
 def memory_rows(projection: Projection, point: Point) -> list[tuple]:
-    """The rows of the memory at a size."""
+    """Return the rows of the memory at a size."""
     size = size_of(point)
     return [
         row(
@@ -61,7 +61,7 @@
 
 
 def check_table(projection: Projection) -> str:
-    """The table, in Markdown."""
+    """Return the table in Markdown."""
     rows = []
     for point in projection.points.get('whole', []) + projection.points.get('full', []):
         if point['seed'] == SEED:
--- a/zinctrail/simulation/capacity/data_table.py
+++ b/zinctrail/simulation/capacity/data_table.py
@@ -1,4 +1,4 @@
-"""The table of the data plane, measured on loopback, in docs/CAPACITY.md."""
+"""The table of data-plane costs, measured on loopback, in docs/CAPACITY.md."""
 
 import statistics
 
@@ -27,7 +27,7 @@
 
 
 def rate_row(run: str, rate: int, points: list[capacity_slopes.Point]) -> tuple:
-    """The row of a rate, over the points of all seeds."""
+    """Return the row of a rate, aggregated over the points of all seeds."""
     request_ms = [point['cpu_ms'] for point in points]
     median_ms = statistics.median(request_ms)
     added_ms = {key: statistics.median(point['added'][key] for point in points) for key in PERCENTILES}
@@ -45,7 +45,7 @@
 
 
 def data_table(projection: capacity_projection.Projection) -> str:
-    """The table, in Markdown."""
+    """Return the table in Markdown."""
     rows = []
     for run in RUNS:
         points = projection.loopback[run]
--- a/zinctrail/simulation/capacity/formats.py
+++ b/zinctrail/simulation/capacity/formats.py
@@ -1,21 +1,21 @@
-"""Numbers and tables as docs/CAPACITY.md shows them."""
+"""Formatting of numbers and tables for docs/CAPACITY.md."""
 
 import collections.abc
 
 UNITS = (('T', 1e12), ('G', 1e9), ('M', 1e6))
-# Where nothing is known or nothing applies.
+# Shown for a value that is unknown or does not apply.
 DASH = '–'
-# From here on a number with three significant figures has a unit.
+# From this value on a number is shown with a unit; 999,500 rounds to 1 M at three significant figures.
 NEEDS_UNIT = 999500
-# Numbers nearer to zero than this are noise.
-AS_ZERO = 5e-7
+# Numbers closer to zero than this are noise and shown as 0.
+ZERO_TOLERANCE = 5e-7
 
 
 def three_figures(value: float | None) -> str:
-    """A number with three significant figures; a dash for None."""
+    """Return a number with three significant figures; a dash for None."""
     if value is None:
         return DASH
-    if value == 0 or abs(value) < AS_ZERO:
+    if value == 0 or abs(value) < ZERO_TOLERANCE:
         return '0'
     if abs(value) >= NEEDS_UNIT:
         for unit, size in UNITS:
@@ -27,18 +27,18 @@
 
 
 def table(head: tuple[str, ...], rows: collections.abc.Iterable[tuple]) -> str:
-    """A table in Markdown."""
+    """Return a table in Markdown."""
     lines = [markdown_row(head), '|' + '---|' * len(head)]
     return '\n'.join(lines + [markdown_row(row) for row in rows])
 
 
 def markdown_row(cells: tuple) -> str:
-    """A row of a table in Markdown."""
+    """Return a row of a table in Markdown."""
     return '| ' + ' | '.join(str(cell) for cell in cells) + ' |'
 
 
 def verdict(is_met: bool | None) -> str:
-    """Whether a budget is met; a dash where there is none."""
+    """Return the text that says if a budget is met; a dash if there is no budget."""
     if is_met is None:
         return DASH
     return 'met' if is_met else '**not met**'
--- a/zinctrail/simulation/capacity/losses_table.py
+++ b/zinctrail/simulation/capacity/losses_table.py
@@ -17,73 +17,73 @@
 
 
 class Cost(typing.NamedTuple):
-    """What an event costs the leader."""
+    """The cost of an event at the leader."""
 
     messages: float
     bytes: float
     cpu_ms: float
 
     def times(self, factor: float) -> 'Cost':
-        """The cost of so many, or of a cluster so much larger."""
+        """Return the cost multiplied by a number of events or by the factor of a larger cluster."""
         return Cost(self.messages * factor, self.bytes * factor, self.cpu_ms * factor)
 
     def plus(self, more_bytes: float = 0, more_ms: float = 0) -> 'Cost':
-        """This cost, and bytes and processor time on top."""
+        """Return this cost plus additional bytes and processor time."""
         return Cost(self.messages, self.bytes + more_bytes, self.cpu_ms + more_ms)
 
 
 class Loss(typing.NamedTuple):
-    """An event of the table."""
+    """A loss, restart or change listed in the table."""
 
-    what: str
+    title: str
     how_often: str
     cost: Cost
-    # How long it took where it was measured, in seconds, beside the leader's processor time.
+    # The measured duration in seconds, in addition to the leader's processor time.
     measured_s: float
-    worked_out: str
+    derivation: str
 
 
 class Group(typing.NamedTuple):
-    """Nodes that are lost at once."""
+    """A group of nodes that are lost at once."""
 
-    what: str
+    title: str
     nodes: int
     how_often: str
 
 
 RACK = Group('a rack', 17, 'most days')
-CELL = Group('a cell', 51, '1 or 2 a year')
+ZONE = Group('a cell', 51, '1 or 2 a year')
 REGION = Group('a region', 203, '')
-GROUPS = (RACK, CELL, REGION)
+GROUPS = (RACK, ZONE, REGION)
 
 
 # -- costs at the target size -------------------------------------------------
 
 
 def cost_over_nodes(projection: Projection, event: str) -> Cost:
-    """The cost of an event at the target number of nodes."""
+    """Return the cost of an event at the target number of nodes."""
     return Cost(*(projection.over_nodes(f'{event}/master/{metric}') for metric in capacity_slopes.METRICS))
 
 
 def restart_cost(projection: Projection) -> Cost:
-    """The cost of a restart, which gets the whole state."""
-    return cost_over_nodes(projection, 'restarted').plus(more_bytes=projection.packed_bytes())
+    """Return the cost of a restart, after which the node is sent the full state."""
+    return cost_over_nodes(projection, 'restarted').plus(more_bytes=projection.compressed_bytes())
 
 
 def change_cost(projection: Projection) -> Cost:
-    """The cost of one change."""
+    """Return the cost of one change."""
     return Cost(*(projection.change('master', metric) for metric in capacity_slopes.METRICS))
 
 
 def leader_loss_cost(projection: Projection) -> Cost:
-    """The cost of a successor."""
+    """Return the cost of the loss of the leader, at its successor."""
     found = projection.found['headless']
     lines = [found[f'headless/master/{metric}'] for metric in capacity_slopes.METRICS]
     return Cost(*(line['a'] + line['b'] * projection.nodes for line in lines))
 
 
 def encoded_bytes_per_second(projection: Projection) -> float:
-    """How fast a whole state is encoded, by the largest sizes measured for it."""
+    """Return the encoding rate of a full state, measured at the largest number of tenants."""
     points = projection.points['tenants']
     largest = max(point['size']['tenants'] for point in points)
     return statistics.median(
@@ -94,7 +94,7 @@
 
 
 def leader_cores(projection: Projection) -> float:
-    """What of its core the leader needs while nothing changes."""
+    """Return the cores that the leader uses while nothing changes."""
     return projection.quiet('master', 'cpu_ms') / 1000
 
 
@@ -102,12 +102,12 @@
 
 
 def last_seconds(projection: Projection, sweep: str, figure: str) -> float:
-    """A time measured at the largest size of a sweep."""
+    """Return a time, in seconds, measured at the largest size of a sweep."""
     return projection.found[sweep][figure]['y'][-1] / 1000
 
 
 def single_losses(projection: Projection) -> list[Loss]:
-    """A change, and what is lost one by one."""
+    """Return the events of single nodes: a change, a failure and a restart."""
     slowest_change_ms = max(projection.found['nodes']['in_force_ms']['y'])
     return [
         Loss(
@@ -135,9 +135,9 @@
 
 
 class GroupLosses:
-    """Losses of a group, which were measured directly in a smaller cluster.
+    """Losses of a group of nodes, measured with the same group size in a smaller cluster.
 
-    They are projected by the number of nodes alone, because how many fail at once was measured.
+    They are projected only by the number of nodes in the cluster, because the number that fail at once was measured.
     """
 
     def __init__(self, projection: Projection, group: Group):
@@ -147,24 +147,24 @@
         self.factor = projection.nodes / self.measured_nodes
 
     def measured(self, figure: str) -> float:
-        """A figure as it was measured for this many nodes."""
+        """Return a figure as measured for a group of this size."""
         found = self.found[figure]
         return found['y'][self.found['killed/ms']['x'].index(self.group.nodes)]
 
     def cost(self, event: str) -> Cost:
-        """The cost of an event at the target size."""
+        """Return the cost of an event at the target size."""
         measured = Cost(*(self.measured(f'{event}/master/{metric}') for metric in capacity_slopes.METRICS))
         return measured.times(self.factor)
 
     def seconds(self, event: str) -> float:
-        """How long an event took."""
+        """Return the duration of an event in seconds."""
         return self.measured(f'{event}/ms') / 1000
 
     def lost(self) -> Loss:
-        """All are lost at once."""
-        what, nodes, how_often = self.group
+        """Return the loss of all nodes of the group at once."""
+        title, nodes, how_often = self.group
         return Loss(
-            f'{what} of {nodes} nodes is lost',
+            f'{title} of {nodes} nodes is lost',
             how_often,
             self.cost('killed'),
             self.seconds('killed'),
@@ -172,12 +172,12 @@
         )
 
     def restarted(self) -> Loss:
-        """All are restarted at once: each gets the whole state, which is encoded once."""
-        what, nodes, how_often = self.group
-        state_bytes = self.projection.packed_bytes() * nodes
+        """Return the restart of all nodes of the group at once; each is sent the full state, which is encoded once."""
+        title, nodes, how_often = self.group
+        state_bytes = self.projection.compressed_bytes() * nodes
         encode_s = self.projection.routes_bytes() / encoded_bytes_per_second(self.projection)
         return Loss(
-            f'{what} of {nodes} nodes is restarted',
+            f'{title} of {nodes} nodes is restarted',
             how_often,
             self.cost('restarted').plus(state_bytes, encode_s * 1000),
             self.seconds('restarted'),
@@ -185,10 +185,10 @@
         )
 
     def back(self) -> Loss:
-        """All come back after a partition."""
-        what, nodes, _ = self.group
+        """Return the reconnection of all nodes of the group after a partition."""
+        title, nodes, _ = self.group
         return Loss(
-            f'{what} of {nodes} nodes comes back after a parting',
+            f'{title} of {nodes} nodes comes back after a parting',
             'now and then',
             self.cost('back'),
             self.seconds('back'),
@@ -197,7 +197,7 @@
 
 
 def group_losses(projection: Projection) -> list[Loss]:
-    """What happens to many nodes at once."""
+    """Return the events that affect a group of nodes at once."""
     found = []
     for group in GROUPS:
         losses = GroupLosses(projection, group)
@@ -208,7 +208,7 @@
 
 
 def leader_loss(projection: Projection) -> Loss:
-    """The leader is lost."""
+    """Return the loss of the leader."""
     return Loss(
         'the leader is lost',
         '',
@@ -222,15 +222,15 @@
 
 
 def loss_row(loss: Loss, busy_cores: float) -> tuple:
-    """The row of an event: when it is in force, were the leader idle, and beside the leases that it gives.
+    """Return the row of an event: the time until it is in force at an idle leader and at one that grants leases.
 
-    One thread does both, and a change gets the time that the leases leave.
+    One thread does both, so a change gets only the processor time that the leases leave.
     """
     cpu_s = loss.cost.cpu_ms / 1000
     idle_s = cpu_s + loss.measured_s
     is_met_beside_leases = busy_cores < 1 and cpu_s / (1 - busy_cores) + loss.measured_s <= IN_FORCE_LIMIT_S
     return (
-        loss.what,
+        loss.title,
         loss.how_often,
         three_figures(loss.cost.messages),
         three_figures(loss.cost.bytes),
@@ -238,12 +238,12 @@
         three_figures(idle_s),
         formats.verdict(idle_s <= IN_FORCE_LIMIT_S),
         formats.verdict(is_met_beside_leases),
-        loss.worked_out,
+        loss.derivation,
     )
 
 
 def partition_row(projection: Projection) -> tuple:
-    """The row of a region while it is partitioned: what all its nodes send, held against the budget of each."""
+    """Return the row of a partitioned region: traffic sent by all its nodes, and the verdict on the budget of each."""
     region_nodes = TARGET['nodes'] / TARGET['regions']
     messages = projection.over_nodes('apart/prox/messages')
     sent_bytes = projection.over_nodes('apart/prox/bytes')
@@ -261,7 +261,7 @@
 
 
 def day_row(projection: Projection) -> tuple:
-    """The row of all failures and restarts of a day."""
+    """Return the row of all failures and restarts of a day."""
     failures = cost_over_nodes(projection, 'killed').times(FAILURES_A_DAY)
     restarts = restart_cost(projection).times(RESTARTS_A_DAY)
     messages = failures.messages + restarts.messages
@@ -282,7 +282,7 @@
 
 
 def losses_table(projection: Projection) -> str:
-    """The table, in Markdown."""
+    """Return the table in Markdown."""
     busy_cores = leader_cores(projection)
     head = (
         'what',
--- a/zinctrail/simulation/capacity/mechanisms_table.py
+++ b/zinctrail/simulation/capacity/mechanisms_table.py
@@ -1,4 +1,4 @@
-"""The table of the mechanisms that would meet each missed budget in docs/CAPACITY.md."""
+"""The table in docs/CAPACITY.md of the mechanisms that would meet each missed budget."""
 
 import typing
 
@@ -21,31 +21,32 @@
 HEAD = ('line', 'mechanism', 'slope today', 'slope with it', 'at the size', 'budget', '')
 NO_BUDGET = formats.DASH
 
-# Which rows a node would keep: its region's endpoints and proxies, a summary of each service, what it uses of the rest.
-KEPT_ROWS = 1000
-KEPT = {
+# The rows that a node would retain: the endpoints and proxies of its region, a summary of each service, and those of the
+# other rows that it uses.
+RETAINED_ROWS = 1000
+RETAINED = {
     'nodes': TARGET['nodes'] / TARGET['regions'] + CONTROL_MACHINES,
     'endpoints': TARGET['endpoints'] / TARGET['regions'] + TARGET['services'],
     'services': TARGET['services'],
-    'routes': KEPT_ROWS,
-    'tenants': KEPT_ROWS,
+    'routes': RETAINED_ROWS,
+    'tenants': RETAINED_ROWS,
 }
 
-# Relays on the machines set aside for control, below the leader and beside the other voters.
+# Relays run on the machines reserved for control that are not voters; the leader sends to relays and the other voters.
 RELAYS = CONTROL_MACHINES - VOTERS
 NODES_BELOW_RELAY = TARGET['nodes'] / RELAYS
 LEADER_PEERS = RELAYS + VOTERS - 1
 NODES_OF_ZONE = TARGET['nodes'] / TARGET['zones']
 
 FRAME_BYTES = 32 << 20
-# Heartbeat rounds a second, by which the quiet rate of a node is divided to get the bytes of one.
+# Heartbeat rounds per second; a node's quiet rate divided by this is the bytes of one heartbeat.
 ROUNDS_PER_SECOND = 2.5
-# A partitioned node looks for few members this much more often than for all.
+# A partitioned node that probes only a few members probes each this many times as often as one that probes all.
 PROBES_OF_FEW = 5
 
 
 class Row(typing.NamedTuple):
-    """A row of the table."""
+    """A row of the table: a budget line, and the mechanism that would meet it."""
 
     line: str
     mechanism: str
@@ -60,7 +61,7 @@
 
 
 def lease_cores(projection: Projection) -> Row:
-    """Leases by way of relays, in processor time."""
+    """Return the row of leases granted through relays, in processor time."""
     node_cores = projection.found['nodes']['quiet/master/cpu_ms']['b'] / 1000
     each = three_figures(node_cores)
     at_relay = node_cores * NODES_BELOW_RELAY
@@ -77,7 +78,7 @@
 
 
 def lease_bytes(projection: Projection) -> Row:
-    """Leases by way of relays, in bytes."""
+    """Return the row of leases granted through relays, in bytes."""
     node_bytes = projection.found['nodes']['quiet/master/bytes']['b']
     each = three_figures(node_bytes)
     return Row(
@@ -92,7 +93,7 @@
 
 
 def lease_bytes_in_zone(projection: Projection) -> Row:
-    """Leases by way of a node in each zone, in bytes."""
+    """Return the row of leases granted through one node in each zone, in bytes."""
     node_bytes = projection.found['nodes']['quiet/master/bytes']['b']
     each = three_figures(node_bytes)
     at_node = node_bytes * NODES_OF_ZONE
@@ -108,9 +109,9 @@
 
 
 def change_in_force(projection: Projection) -> Row:
-    """A change by way of relays.
+    """Return the row of a change published through relays.
 
-    The small sizes count, because a relay bears a few hundred nodes, where the cost of a change is still linear.
+    The cost at small sizes is used, because a relay serves a few hundred nodes, where that cost is still linear.
     """
     over_nodes = projection.found['nodes']['change/master/cpu_ms']
     node_s = capacity_slopes.cost_each_at_small_size(over_nodes) / 1000
@@ -129,17 +130,17 @@
 # -- what a node does and holds -------------------------------------------------
 
 
-def beat_cores(projection: Projection) -> Row:
-    """Heartbeats of endpoints that end at the nodes of their zone."""
-    beat_ms, beats = projection.beat_ms(), capacity_projection.BEATS_PER_SECOND
+def heartbeat_cores(projection: Projection) -> Row:
+    """Return the row of endpoint heartbeats that are sent only to nodes of the endpoint's zone."""
+    heartbeat_ms, beats = projection.heartbeat_ms(), capacity_projection.HEARTBEATS_PER_SECOND
     beats_at_node = beats / projection.nodes
-    at_node = beat_ms * beats / projection.nodes / 1000
-    at_voter = three_figures(beat_ms * beats / VOTERS / 1000)
+    at_node = heartbeat_ms * beats / projection.nodes / 1000
+    at_voter = three_figures(heartbeat_ms * beats / VOTERS / 1000)
     return Row(
         'beats, cores',
         'sharded liveness: beats end at the nodes of the cell, changes alone go up',
-        f'{three_figures(beat_ms)} ms x {three_figures(beats)} a second over {VOTERS} control nodes: {at_voter}',
-        f'{three_figures(beat_ms)} ms x {three_figures(beats_at_node)} a second at a node',
+        f'{three_figures(heartbeat_ms)} ms x {three_figures(beats)} a second over {VOTERS} control nodes: {at_voter}',
+        f'{three_figures(heartbeat_ms)} ms x {three_figures(beats_at_node)} a second at a node',
         three_figures(at_node),
         NODE_BUDGET['cores'],
         formats.verdict(at_node <= NODE_BUDGET['cores']),
@@ -147,18 +148,18 @@
 
 
 def node_memory(projection: Projection) -> Row:
-    """The memory of a node that keeps a part of the rows."""
+    """Return the row of the memory of a node that retains only a part of the rows."""
     found = projection.found
     empty_mb = found['memory_nodes']['prox/mb']['a']
     row_mb = {dimension: max(0, found[f'memory_{dimension}']['prox/mb']['b']) for dimension in DIMENSIONS}
-    total_mb = empty_mb + sum(row_mb[dimension] * KEPT[dimension] for dimension in DIMENSIONS)
+    total_mb = empty_mb + sum(row_mb[dimension] * RETAINED[dimension] for dimension in DIMENSIONS)
     kept = [
-        f'{three_figures(row_mb[dimension] * 1000)} KB x {three_figures(KEPT[dimension])} {dimension}'
+        f'{three_figures(row_mb[dimension] * 1000)} KB x {three_figures(RETAINED[dimension])} {dimension}'
         for dimension in DIMENSIONS
     ]
     return Row(
         'a node: memory, MB',
-        f'tenants and routes fetched on demand ({three_figures(KEPT_ROWS)} of each kept),'
+        f'tenants and routes fetched on demand ({three_figures(RETAINED_ROWS)} of each kept),'
         ' summaries between regions (a row a service)',
         f'{three_figures(projection.memory_mb("prox"))} for {three_figures(projection.routes_rows())} rows',
         ' + '.join([f'{three_figures(empty_mb)} empty', *kept]),
@@ -169,12 +170,12 @@
 
 
 def first_state_bytes(projection: Projection) -> float:
-    """The bytes of the rows that a new node would be sent."""
-    return sum(projection.found[dimension]['state/routes/bytes']['b'] * KEPT[dimension] for dimension in DIMENSIONS)
+    """Return the bytes of the rows that a new node would be sent."""
+    return sum(projection.found[dimension]['state/routes/bytes']['b'] * RETAINED[dimension] for dimension in DIMENSIONS)
 
 
 def first_state(projection: Projection) -> Row:
-    """The first state of a new node."""
+    """Return the row of the initial state of a new node."""
     first_bytes = first_state_bytes(projection)
     return Row(
         'a newcomer: bytes of its first state',
@@ -188,12 +189,12 @@
 
 
 def restart_bytes(projection: Projection) -> Row:
-    """The first states of a day's restarts."""
+    """Return the row of the initial states sent after a day's restarts."""
     bytes_per_second = three_figures(RESTARTS_A_DAY * first_state_bytes(projection) / DAY_SECONDS)
     return Row(
         '5,000 restarts a day: bytes a second out of the leader, packed',
         'the same',
-        three_figures(RESTARTS_A_DAY * projection.packed_bytes() / DAY_SECONDS),
+        three_figures(RESTARTS_A_DAY * projection.compressed_bytes() / DAY_SECONDS),
         bytes_per_second,
         bytes_per_second,
         NO_BUDGET,
@@ -202,7 +203,7 @@
 
 
 def routes_cores(projection: Projection) -> Row:
-    """What is worked out of the routes at a change, for the rows that it touches alone."""
+    """Return the row of incremental route updates, in which a change recomputes only the rows that it affects."""
     all_ms, versions = projection.routes_ms(), projection.versions_per_second()
     row_ms = all_ms / projection.routes_rows()
     cores = row_ms / 1000 * versions
@@ -221,13 +222,13 @@
 
 
 def leader_lost(projection: Projection) -> Row:
-    """A successor that asks its peers what they hold before it sends."""
+    """Return the row of a new leader that asks its peers for their versions before it sends state."""
     heartbeat_bytes = projection.found['nodes']['quiet/master/bytes']['b'] / ROUNDS_PER_SECOND
     peers = three_figures(LEADER_PEERS)
     return Row(
         'leader lost: bytes to be in force',
         'standby cores that ask before they send, and relays that keep their leaves',
-        f'{three_figures(projection.packed_bytes())}B x {three_figures(projection.nodes)}',
+        f'{three_figures(projection.compressed_bytes())}B x {three_figures(projection.nodes)}',
         f'a check and its answer x {peers}, then {peers} x what is missing',
         three_figures(heartbeat_bytes * LEADER_PEERS),
         NO_BUDGET,
@@ -236,7 +237,7 @@
 
 
 def partitioned_node(projection: Projection) -> Row:
-    """A partitioned node that looks for few members."""
+    """Return the row of a partitioned node that probes only a few members."""
     sent = projection.found['nodes']['apart/prox/bytes']
     each = sent['b'] * PROBES_OF_FEW
     total = sent['a'] + each * CONTROL_MACHINES
@@ -252,7 +253,7 @@
 
 
 def credit_bytes(projection: Projection) -> Row:
-    """Credit asked only for the pools in use."""
+    """Return the row of credit that is requested only for the pools in use."""
     pool_bytes = projection.found['pools']['quiet/prox/bytes']['b']
     each = three_figures(pool_bytes)
     return Row(
@@ -267,7 +268,7 @@
 
 
 def claim_cores(projection: Projection) -> Row:
-    """Claims over leaders of their own."""
+    """Return the row of claims that are sharded over separate leaders."""
     claim_ms = projection.claim_cost('cpu_ms')
     cores = claim_ms * TARGET['requests'] / 1000 / RELAYS
     return Row(
@@ -286,7 +287,7 @@
     lease_bytes,
     lease_bytes_in_zone,
     change_in_force,
-    beat_cores,
+    heartbeat_cores,
     node_memory,
     first_state,
     restart_bytes,
@@ -299,5 +300,5 @@
 
 
 def mechanisms_table(projection: Projection) -> str:
-    """For each line that is not met: what carries it, and what that makes of the slope; in Markdown."""
+    """Return the table in Markdown: for each missed budget the mechanism that meets it, and the slope with it."""
     return formats.table(HEAD, [make(projection) for make in ROWS])
--- a/zinctrail/simulation/capacity/plots.py
+++ b/zinctrail/simulation/capacity/plots.py
@@ -10,26 +10,26 @@
 Slope = capacity_slopes.Slope
 
 NODE_BYTES = capacity_projection.NODE_BUDGET['bytes']
-# A core, in processor ms a second, and the time of a change, in ms.
+# Budgets: one core, in ms of processor time per second, and the time until a change is in force, in ms.
 CORE_MS = 1000
 IN_FORCE_MS = 8000
-# Zero has no place on a logarithmic axis.
+# Replaces zero, which a logarithmic axis cannot show.
 NEARLY_ZERO = 1e-9
 
 
 class Panel(typing.NamedTuple):
-    """One plot of figures over a dimension, with their lines."""
+    """One plot of figures over a dimension, with the fitted lines."""
 
     title: str
     unit: str
-    # (label, slope) of each figure; those that were not fitted are left out.
+    # (label, slope) of each figure; figures without a fitted slope are omitted.
     figures: collections.abc.Sequence[tuple[str, Slope | None]]
     target: int
     budget: float | None = None
 
 
 def draw(axes, panel: Panel) -> None:
-    """Draw a panel."""
+    """Draw a panel: measured medians, fitted lines, target size and budget."""
     for label, slope in panel.figures:
         if slope is None or slope['residual'] is None:
             continue
@@ -45,13 +45,13 @@
 
 
 def quiet_panel(found: capacity_slopes.Slopes, metric: str, unit: str, budget: float) -> Panel:
-    """What each role costs while nothing changes, over nodes."""
+    """Return the panel of each role's cost while nothing changes, over nodes."""
     figures = [(role, found['nodes'].get(f'quiet/{role}/{metric}')) for role in capacity_slopes.ROLES]
     return Panel(f'{metric} over nodes', unit, figures, capacity_projection.TARGET['nodes'], budget)
 
 
 def change_panel(found: capacity_slopes.Slopes) -> Panel:
-    """What one change costs, over nodes."""
+    """Return the panel of the cost of one change, over nodes."""
     nodes = found['nodes']
     figures = [('leader: ms', nodes['change/master/cpu_ms']), ('proxy: ms', nodes['change/prox/cpu_ms'])]
     target = capacity_projection.TARGET['nodes']
@@ -59,7 +59,7 @@
 
 
 def losses_panel(found: capacity_slopes.Slopes) -> Panel:
-    """What losses cost, over nodes."""
+    """Return the panel of the cost of losses, over nodes."""
     nodes = found['nodes']
     figures = [
         ('killed: messages of the leader', nodes['killed/master/messages']),
@@ -70,7 +70,7 @@
 
 
 def memory_panel(found: capacity_slopes.Slopes, role: str, budget: float | None) -> Panel:
-    """The memory of a role, over each dimension."""
+    """Return the panel of the memory of a role, over each dimension."""
     figures = [(dimension, found[f'memory_{dimension}'].get(f'{role}/mb')) for dimension in capacity_slopes.DIMENSIONS]
     return Panel(f'memory of a {role}', 'MB', figures, capacity_projection.TARGET['endpoints'], budget)
 
--- a/zinctrail/simulation/capacity/roles_table.py
+++ b/zinctrail/simulation/capacity/roles_table.py
@@ -1,4 +1,4 @@
-"""The table of each role's costs at the target size in docs/CAPACITY.md."""
+"""The table in docs/CAPACITY.md of each role's costs at the target size."""
 
 import typing
 
@@ -15,51 +15,51 @@
 
 HEAD = ('role', 'figure', 'at the size', 'budget', '', 'worked out')
 NO_BUDGET = formats.DASH
-NOT_TOLD = 'not told'
+NOT_SPECIFIED = 'not told'
 
 LEADER, FOLLOWER, DIRECTORY, PROXY = 'core leader', 'core follower', 'directory', 'edge proxy'
 ENDPOINT_LIBRARY, CLIENT_LIBRARY = "endpoint's library", "requester's library"
 
 
 class Row(typing.NamedTuple):
-    """A row of the table."""
+    """A row of the table: a figure of a role, its budget and its derivation."""
 
     role: str
     figure: str
     at_size: str
     budget: str | float
     verdict: str
-    worked_out: str
+    derivation: str
 
 
-def unbounded(role: str, figure: str, at_size: float, worked_out: str, budget: str = NO_BUDGET) -> Row:
-    """A row without a budget."""
-    return Row(role, figure, three_figures(at_size), budget, formats.verdict(None), worked_out)
+def unbounded(role: str, figure: str, at_size: float, derivation: str, budget: str = NO_BUDGET) -> Row:
+    """Return a row without a budget."""
+    return Row(role, figure, three_figures(at_size), budget, formats.verdict(None), derivation)
 
 
-def bounded(role: str, figure: str, at_size: float, budget: float, worked_out: str) -> Row:
-    """A row with a budget, which is shown as it is."""
-    return Row(role, figure, three_figures(at_size), budget, formats.verdict(at_size <= budget), worked_out)
+def bounded(role: str, figure: str, at_size: float, budget: float, derivation: str) -> Row:
+    """Return a row with a budget, which is shown unformatted."""
+    return Row(role, figure, three_figures(at_size), budget, formats.verdict(at_size <= budget), derivation)
 
 
-def bounded_bytes(role: str, figure: str, at_size: float, worked_out: str) -> Row:
-    """A row of bytes a second, held against the budget of a node."""
+def bounded_bytes(role: str, figure: str, at_size: float, derivation: str) -> Row:
+    """Return a row of bytes per second, compared with the budget of a node."""
     budget = NODE_BUDGET['bytes']
     verdict = formats.verdict(at_size <= budget)
-    return Row(role, figure, three_figures(at_size), three_figures(budget), verdict, worked_out)
+    return Row(role, figure, three_figures(at_size), three_figures(budget), verdict, derivation)
 
 
 def line_over_nodes(projection: Projection, figure: str) -> str:
-    """How a figure grows over nodes, in words."""
+    """Return the text of a figure's line over nodes."""
     found = projection.found['nodes'][figure]
     return f'{three_figures(found["a"])} + {three_figures(found["b"])} x {three_figures(projection.nodes)} nodes'
 
 
-# -- what every role with a member of the cluster has -------------------------
+# -- rows of every role that is a member of the cluster ------------------------
 
 
 def control_rows(projection: Projection, role: str, name: str) -> list[Row]:
-    """What control costs one process of a role."""
+    """Return the rows of control-plane costs of one process of a role."""
     return [
         unbounded(
             name,
@@ -85,7 +85,7 @@
 
 
 def bytes_with_changes(projection: Projection, role: str, name: str) -> Row:
-    """Bytes a second on a usual day; only proxies run on nodes that have a budget."""
+    """Return the row of bytes per second on a usual day; only proxies run on nodes that have a budget."""
     row = bounded_bytes if role == 'prox' else unbounded
     return row(
         name,
@@ -96,7 +96,7 @@
 
 
 def processor_with_changes(projection: Projection, role: str, name: str) -> Row:
-    """Processor time on a usual day."""
+    """Return the row of processor time on a usual day."""
     quiet_cores = three_figures(projection.quiet(role, 'cpu_ms') / 1000)
     change_s = three_figures(projection.change(role, 'cpu_ms') / 1000)
     return bounded(
@@ -108,18 +108,18 @@
     )
 
 
-def state_row(projection: Projection, name: str, worked_out: str) -> Row:
-    """How large the state is."""
+def state_row(projection: Projection, name: str, derivation: str) -> Row:
+    """Return the row of the size of the state."""
     at_size = f'{three_figures(projection.routes_rows())} rows, {three_figures(projection.routes_bytes())}B'
     budget = f'pieces of {chunked_transfer.CHUNK_BYTES >> 10} KiB'
-    return Row(name, 'state', at_size, budget, formats.verdict(True), worked_out)
+    return Row(name, 'state', at_size, budget, formats.verdict(True), derivation)
 
 
 # -- the roles ----------------------------------------------------------------
 
 
 def leader_rows(projection: Projection) -> list[Row]:
-    """What the leader has beside what every member has."""
+    """Return the rows of the leader in addition to those of every member."""
     return [
         nodes_of_one_core(projection),
         state_row(
@@ -127,7 +127,7 @@
             LEADER,
             'rows and bytes of each dimension x its size; sent in pieces, never as one frame (simulation.catch_up)',
         ),
-        unbounded(LEADER, 'memory, MB', projection.memory_mb('master'), 'memory sweeps, role master', NOT_TOLD),
+        unbounded(LEADER, 'memory, MB', projection.memory_mb('master'), 'memory sweeps, role master', NOT_SPECIFIED),
         unbounded(
             LEADER,
             'disk, bytes a change',
@@ -138,7 +138,7 @@
 
 
 def nodes_of_one_core(projection: Projection) -> Row:
-    """How many nodes a leader on one core can give leases to: here more is better."""
+    """Return the row of the number of nodes that a leader on one core can grant leases to; higher is better here."""
     leader_ms = projection.found['nodes']['quiet/master/cpu_ms']
     nodes = (1000 * CORE_BUDGET - leader_ms['a']) / leader_ms['b']
     return Row(
@@ -152,34 +152,36 @@
 
 
 def follower_rows(projection: Projection) -> list[Row]:
-    """What a controller that follows has beside what every member has."""
+    """Return the rows of a follower in addition to those of every member."""
     followers = capacity_projection.CONTROL_MACHINES - 1
-    beats = capacity_projection.BEATS_PER_SECOND
-    beat_ms = projection.beat_ms()
+    beats = capacity_projection.HEARTBEATS_PER_SECOND
+    heartbeat_ms = projection.heartbeat_ms()
     return [
-        unbounded(FOLLOWER, 'memory, MB', projection.memory_mb('master'), 'as the leader: it holds the same', NOT_TOLD),
+        unbounded(
+            FOLLOWER, 'memory, MB', projection.memory_mb('master'), 'as the leader: it holds the same', NOT_SPECIFIED
+        ),
         bounded(
             FOLLOWER,
             'beats, cores',
-            beats / followers * beat_ms / 1000,
+            beats / followers * heartbeat_ms / 1000,
             CORE_BUDGET,
-            f'{three_figures(beats)} beats a second over {followers} x {three_figures(beat_ms)} ms (loopback beat)',
+            f'{three_figures(beats)} beats a second over {followers} x {three_figures(heartbeat_ms)} ms (loopback beat)',
         ),
     ]
 
 
 def directory_rows(projection: Projection) -> list[Row]:
-    """What a directory has beside what every member has."""
-    answer_ms = projection.answer_ms()
+    """Return the rows of a directory in addition to those of every member."""
+    lookup_ms = projection.lookup_ms()
     messages = projection.found['pools']['quiet/prox/messages']['b']
     nodes = three_figures(projection.nodes)
     return [
         bounded(
             DIRECTORY,
             'standing answers, cores each 100 a second',
-            answer_ms / 10,
+            lookup_ms / 10,
             CORE_BUDGET,
-            f'{three_figures(answer_ms)} ms an answer at {nodes} nodes (loopback answer)',
+            f'{three_figures(lookup_ms)} ms an answer at {nodes} nodes (loopback answer)',
         ),
         unbounded(
             DIRECTORY,
@@ -191,7 +193,7 @@
 
 
 def proxy_rows(projection: Projection) -> list[Row]:
-    """What a proxy has beside what every member has."""
+    """Return the rows of a proxy in addition to those of every member."""
     routes_ms, versions = projection.routes_ms(), projection.versions_per_second()
     pools = projection.found['pools']
     messages, credit_bytes = pools['quiet/prox/messages']['b'], pools['quiet/prox/bytes']['b']
@@ -222,13 +224,13 @@
 
 
 def endpoint_rows(projection: Projection) -> list[Row]:
-    """What the library of an endpoint costs it."""
+    """Return the rows of the costs of an endpoint's library."""
     body_bytes = projection.found['endpoints']['quiet/follower/http_bytes']['b']
     return [
         unbounded(
             ENDPOINT_LIBRARY,
             'beats a second, each',
-            1 / capacity_projection.BEAT_INTERVAL_S,
+            1 / capacity_projection.HEARTBEAT_INTERVAL_S,
             'bound beat; the same whatever the size',
         ),
         unbounded(
@@ -241,14 +243,14 @@
 
 
 def client_rows(projection: Projection) -> list[Row]:
-    """What the library of a client asks of control."""
+    """Return the rows of the load that a client's library puts on the control plane."""
     requests = TARGET['requests']
     messages, claim_ms = projection.claim_cost('messages'), projection.claim_cost('cpu_ms')
     return [
         unbounded(
             CLIENT_LIBRARY,
             'standing answers a second, each',
-            1 / capacity_projection.ANSWER_INTERVAL_S,
+            1 / capacity_projection.LOOKUP_INTERVAL_S,
             'bound answer; each is one call at a directory',
         ),
         unbounded(
@@ -268,7 +270,7 @@
 
 
 def roles_table(projection: Projection) -> str:
-    """The table, in Markdown."""
+    """Return the table in Markdown."""
     rows = [
         *control_rows(projection, 'master', LEADER),
         *leader_rows(projection),
--- a/zinctrail/simulation/capacity/slopes.py
+++ b/zinctrail/simulation/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the measured figures over the size of a cluster, and how far each can be trusted."""
+"""Slopes of the measured figures over the size of a cluster, and the quality of each fit."""
 
 import collections.abc
 import math
@@ -9,34 +9,34 @@
 import zinctrail.simulation.scale.rates as rates
 import zinctrail.simulation.scale.records as records
 
-# A measured point, as docs/capacity/points.json or loopback.json holds it.
+# A measured point, in the format of docs/capacity/points.json or loopback.json.
 Point = dict[str, typing.Any]
-# Takes a figure out of a point; KeyError where the point does not have it.
+# Extracts a figure from a point; raises KeyError if the point does not have it.
 Value = collections.abc.Callable[[Point], float]
 
 
 class Line(typing.TypedDict, total=False):
-    """The line a + b x through the medians of the seeds, without the sizes that it goes through."""
+    """The line a + b x fitted to the medians of the seeds; the fitted sizes are not included."""
 
     a: float
     b: float
-    # The largest relative distance of a size from the line; None where none could be fitted.
+    # The largest relative distance of a size from the line; None if no line could be fitted.
     residual: float | None
-    # The exponent over the last two sizes once `a` is taken off; missing where growth is no more than noise.
+    # The exponent over the last two sizes after `a` is subtracted; missing if the growth is no more than noise.
     exponent: float
 
 
-# One figure over one dimension, as docs/capacity/slopes.json holds it: a Line with the sizes `x`, the medians `y` and
-# the most of the seeds at each, the widest `spread` of a size's seeds, the number of `seeds`, and the size `from` which
-# the line was fitted.
+# One figure over one dimension, in the format of docs/capacity/slopes.json: a Line with the sizes `x`, the medians `y`,
+# the maximum over the seeds at each size (`most`), the widest `spread` of a size's seeds, the number of `seeds`, and the
+# smallest size of the fit (`from`).
 Slope = dict[str, typing.Any]
-# {sweep: {figure: slope}}; a figure is 'quiet/master/bytes' and the like.
+# {sweep: {figure: slope}}; figures are named like 'quiet/master/bytes'.
 Slopes = dict[str, dict[str, Slope]]
 
 SLOPES = f'{records.FOLDER}/slopes.json'
 
 ROLES = rates.ROLES
-# The roles that losses and memory are recorded of.
+# The roles whose losses and memory are recorded.
 EVENT_ROLES = ('master', 'prox')
 METRICS = ('messages', 'bytes', 'cpu_ms')
 WRITE_METRICS = ('write_bytes', 'writes')
@@ -45,7 +45,7 @@
 
 DIMENSIONS = ('nodes', 'endpoints', 'services', 'routes', 'tenants')
 SWEEPS = (*DIMENSIONS, 'beats_at_dir', 'pools', 'changes', 'claims', 'headless', 'losses')
-# The field of the size that a sweep varies, where it is not the sweep's name.
+# The field of the size that a sweep varies, if it differs from the sweep's name.
 FIELDS = {'beats_at_dir': 'endpoints', 'headless': 'nodes', 'losses': 'killed'}
 
 WINDOW_SECONDS = rates.WINDOW.total_seconds()
@@ -53,11 +53,11 @@
 NOT_LINEAR = 0.15
 # Relative differences below this are noise.
 NOISE = 0.02
-# No line is fitted to fewer sizes.
-FEWEST_SIZES = 3
-# Stands for zero where something is divided by it.
+# The minimum number of sizes to fit a line to.
+MIN_SIZES = 3
+# Replaces zero in divisors.
 TINY = 1e-12
-# Up to this many members heartbeats go at the fastest pace.
+# Up to this many members, heartbeats are sent at the highest rate.
 FASTEST_PACE_MEMBERS = settings.Settings().herd
 
 
@@ -65,7 +65,7 @@
 
 
 def fit(xs: list[float], ys: list[float]) -> tuple[float, float, float]:
-    """(a, b, residual) of y = a + b x with relative residuals."""
+    """Fit y = a + b x with relative residuals; returns (a, b, largest residual)."""
     ys = [max(y, TINY) for y in ys]
     weighted = [(1 / y**2, x, y) for x, y in zip(xs, ys, strict=True)]
     sum_w = sum(w for w, _, _ in weighted)
@@ -79,9 +79,9 @@
 
 
 def line(xs: list[float], ys: list[float]) -> Line:
-    """The line through figures at some sizes."""
+    """Return the line fitted to figures at some sizes."""
     if min(ys) <= 0:
-        # Not fitted, because where nothing or less than nothing was measured there is no meaningful slope.
+        # Not fitted, because there is no meaningful slope if a measured figure is zero or negative.
         return {'a': ys[0], 'b': max(0.0, (ys[-1] - ys[0]) / (xs[-1] - xs[0])), 'residual': None}
     a, b, residual = fit(xs, ys)
     found: Line = {'a': a, 'b': b, 'residual': residual}
@@ -91,7 +91,7 @@
 
 
 def values_by_size(points: list[Point], field: str, value: Value) -> dict[float, list[float]]:
-    """A figure of all points that have it, by the size's field or the point's own."""
+    """Return a figure of all points that have it, grouped by a field of the size or of the point."""
     found: dict[float, list[float]] = {}
     for point in points:
         try:
@@ -104,16 +104,17 @@
 
 
 def slope(points: list[Point], field: str, value: Value) -> Slope | None:
-    """How one figure grows over one dimension; None where too few sizes were measured."""
+    """Return the slope of one figure over one dimension; None if too few sizes were measured."""
     values = values_by_size(points, field, value)
-    if len(values) < FEWEST_SIZES:
+    if len(values) < MIN_SIZES:
         return None
     xs = sorted(values)
     ys = [statistics.median(values[x]) for x in xs]
     spreads = [(max(values[x]) - min(values[x])) / abs(y) if y else 0 for x, y in zip(xs, ys, strict=True)]
-    # From there, because up to that many members the heartbeats go at the fastest pace and each member costs more.
+    # Smaller sizes are excluded, because up to that many members heartbeats are sent at the highest rate and each
+    # member costs more.
     lowest = FASTEST_PACE_MEMBERS if field == 'nodes' and xs[0] < FASTEST_PACE_MEMBERS < xs[-3] else 0
-    left_out = sum(x < lowest for x in xs)
+    excluded = sum(x < lowest for x in xs)
     return {
         'x': xs,
         'y': ys,
@@ -121,7 +122,7 @@
         'spread': max(spreads),
         'seeds': max(len(figures) for figures in values.values()),
         'from': lowest,
-        **line(xs[left_out:], ys[left_out:]),
+        **line(xs[excluded:], ys[excluded:]),
     }
 
 
@@ -129,7 +130,7 @@
 
 
 def recorded(*keys: str) -> Value:
-    """The figure that a point holds under these keys."""
+    """Return a function that gets the figure under nested keys of a point."""
 
     def value(point: Point) -> float:
         found: typing.Any = point
@@ -141,12 +142,12 @@
 
 
 def quiet(role: str, metric: str) -> Value:
-    """What one process of a role costs a second while nothing changes."""
+    """Return a function that gets the cost per second of one process of a role while nothing changes."""
     return recorded('quiet', role, metric)
 
 
 def per_change(role: str, metric: str, part: str = 'changed', field: str = 'changes') -> Value:
-    """What one change adds at one process of a role."""
+    """Return a function that gets the cost that one change adds at one process of a role."""
 
     def added(point):
         extra = point[part][role][metric] - point['quiet'][role][metric]
@@ -156,12 +157,12 @@
 
 
 def longest_in_force_ms(point: Point) -> float:
-    """The time of the slowest change."""
+    """Return the time until the slowest change was in force."""
     return max(point['in_force_ms'])
 
 
 def rate_figures() -> dict[str, Value]:
-    """Figures of roles while nothing changes, and of a change."""
+    """Return the figures of roles while nothing changes, and of a change."""
     return {
         **{f'quiet/{role}/{metric}': quiet(role, metric) for role in ROLES for metric in METRICS + HTTP_METRICS},
         **{f'change/{role}/{metric}': per_change(role, metric) for role in ROLES for metric in METRICS + WRITE_METRICS},
@@ -169,7 +170,7 @@
 
 
 def claim_figures() -> dict[str, Value]:
-    """Figures of a claim."""
+    """Return the figures of a claim."""
     return {
         f'claim/{role}/{metric}': per_change(role, metric, 'claims', 'claims')
         for role in ROLES
@@ -177,21 +178,21 @@
     }
 
 
-def answer_figures() -> dict[str, Value]:
-    """Figures of a resolution at a directory."""
+def lookup_figures() -> dict[str, Value]:
+    """Return the figures of a lookup at a directory."""
     return {
         f'answer/dir/{metric}': per_change('dir', metric, 'answers', 'answers') for metric in ('cpu_ms', 'http_bytes')
     }
 
 
 def event_figures(name: str, *keys: str) -> dict[str, Value]:
-    """Figures of an event that points hold under these keys."""
+    """Return the figures of an event that points hold under nested keys."""
     found = {f'{name}/{role}/{metric}': recorded(*keys, role, metric) for role in EVENT_ROLES for metric in METRICS}
     return {**found, f'{name}/ms': recorded(*keys, 'ms')}
 
 
 def loss_figures() -> dict[str, Value]:
-    """Figures of losses, restarts and partitions."""
+    """Return the figures of losses, restarts and partitions."""
     return {
         **event_figures('killed', 'killed'),
         **event_figures('restarted', 'restarted'),
@@ -202,7 +203,7 @@
 
 
 def state_figures() -> dict[str, Value]:
-    """Figures of the state, and of what has to be done with it."""
+    """Return the figures of the state and of the work that it causes."""
     return {
         'in_force_ms': longest_in_force_ms,
         'routes_ms': recorded('routes_ms'),
@@ -216,22 +217,22 @@
 
 
 def figures_of(sweep: str) -> dict[str, Value]:
-    """The figures that are fitted over a sweep."""
+    """Return the figures that are fitted over a sweep."""
     return {
         **(claim_figures() if sweep == 'claims' else rate_figures()),
-        **(answer_figures() if sweep == 'nodes' else {}),
+        **(lookup_figures() if sweep == 'nodes' else {}),
         **loss_figures(),
         **state_figures(),
     }
 
 
 def memory_figures() -> dict[str, Value]:
-    """Figures of the memory sweeps."""
+    """Return the figures of the memory sweeps."""
     return {f'{role}/{metric}': recorded(role, metric) for role in EVENT_ROLES for metric in MEMORY_METRICS}
 
 
 def cpu_share(point: Point) -> float:
-    """The share of a core that open traffic takes of a proxy."""
+    """Return the share of a core that a proxy uses for open traffic."""
     return point['cpu_ms'] * point['through']['n'] / point['wall'] / 1000
 
 
@@ -240,7 +241,7 @@
 
 
 def loopback_figures(name: str) -> dict[str, Value]:
-    """The figures that are fitted over a measurement on loopback."""
+    """Return the figures that are fitted over a measurement on loopback."""
     found: dict[str, Value] = {'cpu_ms': recorded('cpu_ms')}
     if name == 'open':
         found['cpu_share'] = cpu_share
@@ -248,13 +249,13 @@
 
 
 def fit_all(points: list[Point], field: str, figures: dict[str, Value]) -> dict[str, Slope]:
-    """The slopes of some figures over one dimension; those measured at too few sizes are left out."""
+    """Return the slopes of some figures over one dimension; those measured at too few sizes are omitted."""
     fitted = {name: slope(points, field, value) for name, value in figures.items()}
     return {name: found for name, found in fitted.items() if found}
 
 
 def slopes(points: dict[str, list[Point]], loopback: dict[str, list[Point]]) -> Slopes:
-    """The slopes of all that was measured, by sweep."""
+    """Return the slopes of all measured figures, by sweep."""
     found = {}
     for sweep in SWEEPS:
         found[sweep] = fit_all(points.get(sweep, []), FIELDS.get(sweep, sweep), figures_of(sweep))
@@ -265,11 +266,11 @@
     return found
 
 
-# -- how far they can be trusted ----------------------------------------------
+# -- quality of the fits ------------------------------------------------------
 
 
 def confidence(found: Slope) -> tuple[str, str, str]:
-    """Residual, spread and straightness of a slope."""
+    """Return the residual, spread and linearity of a slope, as texts."""
     if found['residual'] is None:
         return '–', f'{found["spread"]:.2f}', 'nothing measured at the smallest size'
     straight = 'linear' if found['residual'] <= NOT_LINEAR else 'not linear'
@@ -281,15 +282,15 @@
 
 
 def is_significant(found: Slope) -> bool:
-    """Whether a slope is more than noise: what it adds over its own sizes is above the seeds' spread."""
+    """True if a slope is more than noise: its growth over the measured sizes exceeds the seeds' spread."""
     return found['b'] * found['x'][-1] > max(3 * NOISE, found['spread']) * max(abs(found['a']), 1e-9)
 
 
 def cost_each_at_small_size(found: Slope) -> float:
-    """The cost of each unit at the second size of a sweep."""
+    """Return the cost per unit at the second size of a sweep."""
     return found['y'][1] / found['x'][1]
 
 
 def cost_at_largest_size(found: Slope) -> float:
-    """A cost each, at the largest size measured: batching makes it fall with the rate."""
+    """Return the cost per unit at the largest measured size, because batching lowers it as the rate grows."""
     return found['y'][-1]
--- a/zinctrail/simulation/capacity/slopes_table.py
+++ b/zinctrail/simulation/capacity/slopes_table.py
@@ -8,7 +8,7 @@
 
 HEAD = ('over', 'figure', 'sizes', 'a', 'b (each)', 'residual', 'spread', 'straight')
 
-# Which figures are listed, by sweep.
+# The listed figures, by sweep.
 LISTED_FIGURES = (
     (
         'nodes',
@@ -134,7 +134,7 @@
 
 
 def slope_row(sweep: str, figure: str, slope: capacity_slopes.Slope) -> tuple:
-    """The row of a slope."""
+    """Return the row of a slope."""
     sizes = slope['x']
     return (
         sweep,
@@ -147,7 +147,7 @@
 
 
 def slopes_table(projection: capacity_projection.Projection) -> str:
-    """The table, in Markdown; what was not measured is left out."""
+    """Return the table in Markdown; figures that were not measured are omitted."""
     rows = []
     for sweep, figures in LISTED_FIGURES:
         for figure in figures:
