--- a/zinctrail/simulation/benchmarks/__main__.py
+++ b/zinctrail/simulation/benchmarks/__main__.py
@@ -1,12 +1,12 @@
 """Figures for docs/measure.md.
 
-python -m zinctrail.simulation.benchmarks gap [SEEDS]      master killed: time to the next generation in force (virtual)
-python -m zinctrail.simulation.benchmarks bytes [SHAPE]    bytes published for one change (virtual network)
-python -m zinctrail.simulation.benchmarks claims [N]       claims a second by number waiting at once, one real core of three
-python -m zinctrail.simulation.benchmarks fleet [N]        a real fleet: requests, the gap after N killed masters,
-                                           service after N times everything was killed
-python -m zinctrail.simulation.benchmarks rolling          every process restarted in turn with all seeds swapped, under load
-python -m zinctrail.simulation.benchmarks long [MINUTES]   a small fleet under load, changes and restarts: what grows (a line a minute)
+python -m zinctrail.simulation.benchmarks gap [SEEDS]      leader lost: virtual time until its successor commits a version
+python -m zinctrail.simulation.benchmarks bytes [SHAPE]    bytes published for one change (simulated network)
+python -m zinctrail.simulation.benchmarks claims [N]       claims per second by concurrency, at a real control node of three
+python -m zinctrail.simulation.benchmarks fleet [N]        a real fleet: requests, the gap after each of N leader kills,
+                                           recovery after each of N kills of all processes
+python -m zinctrail.simulation.benchmarks rolling          rolling restart of every process with all seeds replaced, under load
+python -m zinctrail.simulation.benchmarks long [MINUTES]   a small fleet under load, changes and restarts: resource growth, a line per minute
 """
 
 import collections.abc
@@ -25,12 +25,12 @@
 
 
 class Benchmark(typing.NamedTuple):
-    """A benchmark, which returns its figures."""
+    """A benchmark command; its function returns the figures."""
 
     function: collections.abc.Callable[..., dict]
-    # What its argument is made with; it may be left out.
+    # Converts the optional argument.
     argument: type
-    # Whether it starts real processes.
+    # True if the benchmark starts real processes.
     is_real: bool
 
 
@@ -45,7 +45,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one of the commands; returns the exit status."""
+    """Run one of the commands and return the exit status."""
     if not arguments or arguments[0] not in BENCHMARKS:
         print(__doc__.strip())
         return 0 if arguments[:1] == ['--help'] else 2
--- a/zinctrail/simulation/benchmarks/claims.py
+++ b/zinctrail/simulation/benchmarks/claims.py
@@ -1,4 +1,4 @@
-"""Claims a second, by the number that wait at once, at one real control node of three."""
+"""Benchmark of claims per second by concurrency, at one real control node of three."""
 
 import collections.abc
 import tempfile
@@ -13,38 +13,38 @@
 import zinctrail.transport.peer_connections as peer_connections
 
 MAX_FRAME_BYTES = 32 << 20
-# How many claims wait at once.
-WIDTHS = (1, 8, 64, 256)
-# One after another they take long, so fewer of them are made.
-FEWER_ALONE = 10
+# The numbers of claims in flight at once.
+CONCURRENCIES = (1, 8, 64, 256)
+# Claims made one after another take long, so the number of claims is divided by this.
+SEQUENTIAL_DIVISOR = 10
 LIMIT_S = 120
 
 
 class ControlNodes:
-    """Three real control nodes, and a connection that asks the leader, as a proxy does."""
+    """Three real control nodes, and a connection that sends operations to the leader, as a proxy does."""
 
     def __init__(self):
         shape = dict(deployments.PRESETS['small'], dirs=1, proxies=1)
         self.fleet = processes.Fleet(shape, tempfile.mkdtemp(), reactor)
         self.fleet.start()
         self.fleet.configure()
-        self.leader = self.fleet.until(self.fleet.leader, 'a master')
+        self.leader = self.fleet.until(self.fleet.leader, 'a leader')
         self.address = self.fleet.ports.take()
         self.fleet.ports.free(self.address)
-        # What is called with the result of each request, by its key.
+        # Callbacks for results of pending requests, by the request's key.
         self.waiting: dict[str, collections.abc.Callable[[dict], None]] = {}
         self.requests = 0
         threads.blockingCallFromThread(reactor, self.listen)
 
     def listen(self) -> None:
-        """Listen for answers; to be called on the reactor's thread, as `claim` is."""
+        """Listen for responses; must be called on the reactor's thread, as `claim` must."""
         self.connections = peer_connections.PeerConnections(
             reactor, MAX_FRAME_BYTES, self.receive, lambda address: None
         )
         self.connections.listen(self.address)
 
     def receive(self, frame: dict) -> None:
-        """A frame arrives; only answers matter."""
+        """Pass the result in a response to its callback; other frames are ignored."""
         callback = self.waiting.pop(frame.get('key'), None)
         if callback is not None:
             callback(frame['result'])
@@ -68,60 +68,62 @@
         self.connections.send(self.leader.addr, request)
 
     def epoch(self) -> int:
-        """The epoch in which claims are made now."""
+        """Return the current epoch of claims."""
         return self.fleet.until(lambda: self.fleet.call('GET', '/v1/epoch')[1].get('epoch'), 'an epoch')
 
     def version(self) -> int:
-        """The number of the newest version of the state."""
+        """Return the number of the newest version of the state."""
         return self.fleet.call('GET', '/v1/status')[1]['state']['generation'][1]
 
 
 class ClaimRound:
-    """A number of claims, of which some are always under way."""
+    """Sends a number of claims with a constant number in flight."""
 
     def __init__(self, nodes: ControlNodes, total: int):
         self.nodes, self.total = nodes, total
         self.epoch = nodes.epoch()
         self.to_send = total
-        self.answered = 0
+        self.granted = 0
         self.done = threading.Event()
 
-    def start(self, width: int) -> None:
-        """Make so many claims; each answer makes the next; to be called on the reactor's thread."""
-        for _ in range(width):
-            self.next()
+    def start(self, concurrency: int) -> None:
+        """Send the first claims; each response triggers the next. Must be called on the reactor's thread."""
+        for _ in range(concurrency):
+            self.send_next()
 
-    def next(self) -> None:
-        """Make one more claim, if any is left."""
+    def send_next(self) -> None:
+        """Send one more claim if any remain; signal the end once all are granted."""
         if self.to_send:
             self.to_send -= 1
-            self.nodes.claim(self.epoch, self.note_result)
-        elif self.answered == self.total:
+            self.nodes.claim(self.epoch, self.record_result)
+        elif self.granted == self.total:
             self.done.set()
 
-    def note_result(self, result: dict) -> None:
-        """Note that a claim was granted."""
+    def record_result(self, result: dict) -> None:
+        """Check that a claim was granted, count it and send the next."""
         assert result['status'] == 200 and result['got'] == 'claimed', result
-        self.answered += 1
-        self.next()
+        self.granted += 1
+        self.send_next()
 
 
 def claims(count: int = 2000) -> dict:
-    """Claims a second and claims in a version, by the number that wait at once."""
+    """Return claims per second and claims per version, by concurrency."""
     nodes = ControlNodes()
     try:
-        return {f'{width} at once': measure_width(nodes, count, width) for width in WIDTHS}
+        return {
+            f'{concurrency} at once': measure_concurrency(nodes, count, concurrency) for concurrency in CONCURRENCIES
+        }
     finally:
         nodes.fleet.stop()
 
 
-def measure_width(nodes: ControlNodes, count: int, width: int) -> dict:
-    """The figures of one round of claims."""
-    total = count if width > 1 else count // FEWER_ALONE
+def measure_concurrency(nodes: ControlNodes, count: int, concurrency: int) -> dict:
+    """Measure one round of claims."""
+    total = count if concurrency > 1 else count // SEQUENTIAL_DIVISOR
     claim_round = ClaimRound(nodes, total)
     before = nodes.version()
     began = time.monotonic()
-    reactor.callFromThread(claim_round.start, width)
+    reactor.callFromThread(claim_round.start, concurrency)
     assert claim_round.done.wait(LIMIT_S)
     seconds = time.monotonic() - began
     versions = nodes.version() - before
--- a/zinctrail/simulation/benchmarks/figures.py
+++ b/zinctrail/simulation/benchmarks/figures.py
@@ -7,7 +7,7 @@
 
 
 def spread(values: collections.abc.Iterable[float]) -> dict[str, float]:
-    """How many values there are, their percentiles and the largest."""
+    """Return the number of values, their percentiles and the maximum."""
     ordered = sorted(values)
     last = len(ordered) - 1
     percentiles = {
--- a/zinctrail/simulation/benchmarks/growth.py
+++ b/zinctrail/simulation/benchmarks/growth.py
@@ -1,4 +1,4 @@
-"""What grows over a long time: memory, files and rows of a small fleet under load, changes and restarts."""
+"""Resource growth over a long run: memory, files and rows of a small fleet under load, changes and restarts."""
 
 import json
 import os
@@ -11,17 +11,17 @@
 import zinctrail.simulation.benchmarks.loaded_fleet as loaded_fleet
 import zinctrail.transport.blocking_client as blocking_client
 
-# The third of each role is restarted, the others never.
+# Only the third process of each role is restarted.
 RESTARTED = ('core2', 'dir2', 'prox2')
 EXIT_LIMIT_S = 60
 CHANGES_EACH_MINUTE = 3
 CHANGE_LIMIT_S = 10
-# Labels are set at so many addresses, so that they don't grow themselves.
+# Labels are set at a limited number of addresses, so that the labels themselves do not grow without bound.
 LABELLED_ADDRESSES = 200
 
 
 def long(minutes: int = 60) -> dict:
-    """Run for so long, print a line a minute, and return what became of the requests."""
+    """Run for `minutes`, print the figures once a minute, and return the results of the requests."""
     with loaded_fleet.loaded() as fleet:
         rng = random.Random(3)
         began = time.monotonic()
@@ -37,7 +37,7 @@
 
 
 def restart_one(fleet: processes.Fleet, rng: random.Random) -> None:
-    """Stop or kill one process, and start it again."""
+    """Stop or kill a random process of RESTARTED, and start it again."""
     process = fleet.processes[rng.choice(RESTARTED)]
     process.signal(rng.choice((signal.SIGTERM, signal.SIGKILL)))
     process.child.wait(EXIT_LIMIT_S)
@@ -45,7 +45,7 @@
 
 
 def change_label(fleet: processes.Fleet, rng: random.Random, minute: int) -> None:
-    """Set a label, if the configuration can be read."""
+    """Set the label of a random address, if the configuration can be read."""
     document = fleet.call('GET', '/v1/config')[1]
     if document:
         config = document['config']
@@ -54,7 +54,7 @@
 
 
 def growth(fleet: processes.Fleet) -> dict:
-    """What of a fleet could grow without end."""
+    """Return the figures of a fleet that could grow without bound."""
     found: dict = {'rss_mb': {}, 'files': {}, 'folder_kb': {}, 'prox': {}}
     for name, process in fleet.processes.items():
         memory_mb = rss_mb(process)
@@ -75,7 +75,7 @@
 
 
 def rss_mb(process: processes.FleetProcess) -> float | None:
-    """The resident memory of a process; None if it has ended."""
+    """Return the resident memory of a process in MB; None if it has ended."""
     try:
         with open(f'/proc/{process.child.pid}/statm') as file:
             pages = int(file.read().split()[1])
@@ -85,7 +85,7 @@
 
 
 def file_size(path: str) -> int:
-    """The size of a file; 0 if it was renamed since it was listed."""
+    """Return the size of a file; 0 if it was renamed since it was listed."""
     try:
         return os.stat(path).st_size
     except FileNotFoundError:
--- a/zinctrail/simulation/benchmarks/loaded_fleet.py
+++ b/zinctrail/simulation/benchmarks/loaded_fleet.py
@@ -1,4 +1,4 @@
-"""A small real fleet under load: requests, how long nobody leads, how soon service is back."""
+"""Benchmark of a small real fleet under load: requests, time without a leader, and recovery time."""
 
 import collections.abc
 import contextlib
@@ -15,18 +15,18 @@
 import zinctrail.simulation.benchmarks.figures as figures
 
 ENDPOINTS_READY_S = 3
-CALM_S = 10
-# The pauses after a leader, and after everything, was started again.
+STEADY_STATE_S = 10
+# The pauses after a leader was restarted, and after all processes were restarted.
 LEADER_BACK_S, ALL_BACK_S = 4, 6
-# Within this time service must be back.
+# The recovery objective: requests must succeed again within this time.
 RECOVERY_LIMIT_MS = 15000
-# So many requests must run: one that was in flight when all ended must not count as service.
+# More than this many requests must run, so that requests in flight at the kill do not count as recovery.
 MORE_THAN_IN_FLIGHT = 5
 
 
 @contextlib.contextmanager
 def loaded() -> collections.abc.Iterator[processes.Fleet]:
-    """A small real fleet with endpoints and callers."""
+    """Start a small real fleet with endpoints and clients, and stop it at the end of the context."""
     fleet = processes.Fleet(deployments.PRESETS['small'], tempfile.mkdtemp(), reactor)
     try:
         fleet.start()
@@ -40,9 +40,9 @@
 
 
 def fleet_under_kills(kills: int = 5) -> dict:
-    """Requests while all is calm, and what kills of the leader and of everything do."""
+    """Measure requests without faults, then the effect of killing the leader and of killing all processes."""
     with loaded() as fleet:
-        time.sleep(CALM_S)
+        time.sleep(STEADY_STATE_S)
         found = {'calm': dict(fleet.counts), 'waits_ms': histogram.spread(fleet.waits)}
         found['gap_ms'] = figures.spread([leader_gap_ms(fleet) for _ in range(kills)])
         recoveries_ms = sorted(recovery_ms(fleet) for _ in range(kills))
@@ -52,8 +52,8 @@
 
 
 def leader_gap_ms(fleet: processes.Fleet) -> float:
-    """Kill the leader, and start it again once another leads; returns the time until then."""
-    old = fleet.until(fleet.leader, 'a master')
+    """Kill the leader and restart it once another is elected; returns the time until the election."""
+    old = fleet.until(fleet.leader, 'a leader')
     old.kill()
     began = time.monotonic()
     fleet.until(lambda: (fleet.leader() or old) is not old, 'a successor')
@@ -64,7 +64,7 @@
 
 
 def recovery_ms(fleet: processes.Fleet) -> float:
-    """Kill everything and start it again; returns the time until requests run."""
+    """Kill and restart all processes; returns the time from the restart until requests run."""
     for process in fleet.processes.values():
         process.kill()
     for process in fleet.processes.values():
--- a/zinctrail/simulation/benchmarks/rolling.py
+++ b/zinctrail/simulation/benchmarks/rolling.py
@@ -1,4 +1,4 @@
-"""Every process restarted in turn with all seeds swapped, under load, as operate/restart.md says."""
+"""Rolling restart of every process with all seeds replaced, under load, as operate/restart.md describes."""
 
 import functools
 import signal
@@ -8,25 +8,25 @@
 import zinctrail.simulation.benchmarks.loaded_fleet as loaded_fleet
 import zinctrail.transport.blocking_client as blocking_client
 
-# One of each role, in place of the seeds that the fleet started with.
+# One process of each role; they replace the seeds that the fleet started with.
 NEW_SEEDS = ('core2', 'prox1', 'dir2')
 EXIT_LIMIT_S = 60
-LAST_REQUESTS_S = 2
+REQUEST_DRAIN_S = 2
 
 
 def rolling() -> dict:
-    """The exit codes of all processes, and what became of the requests meanwhile."""
+    """Restart all processes; returns their exit codes and the results of the requests meanwhile."""
     with loaded_fleet.loaded() as fleet:
         seeds = [fleet.processes[name].addr for name in NEW_SEEDS]
         for process in fleet.processes.values():
             process.seeds = seeds
         codes = [restart(fleet, process) for process in restart_order(fleet)]
-        time.sleep(LAST_REQUESTS_S)
+        time.sleep(REQUEST_DRAIN_S)
         return {'restarted': len(codes), 'codes': sorted(set(codes)), **fleet.report()}
 
 
 def restart_order(fleet: processes.Fleet) -> list[processes.FleetProcess]:
-    """Directories, proxies and control nodes; the leader comes last."""
+    """Return all processes in the order of restart: directories, proxies, control nodes; the leader last."""
     leader = fleet.leader()
     order = fleet.of('dir') + fleet.of('prox') + fleet.of('core')
     return sorted(order, key=lambda process: process is leader)
@@ -42,5 +42,5 @@
 
 
 def is_ready(process: processes.FleetProcess) -> bool:
-    """Whether a process says that it is ready."""
+    """True if a process reports that it is ready."""
     return blocking_client.try_call(process.http, 'GET', '/v1/ready')[0] == 200
--- a/zinctrail/simulation/benchmarks/virtual.py
+++ b/zinctrail/simulation/benchmarks/virtual.py
@@ -1,4 +1,4 @@
-"""Benchmarks on the virtual network: how long nobody leads, and the bytes of a change."""
+"""Benchmarks on the simulated network: time without a leader, and bytes published for a change."""
 
 import collections.abc
 import json
@@ -13,55 +13,55 @@
 
 ms = durations.ms
 
-# Longer than it may take until another leads.
+# Longer than the election of a successor may take.
 SUCCESSOR_LIMIT = ms(30000)
-# Leaders end at random moments of this time after the start.
-LONGEST_CALM_MS = 2000
+# Leaders are stopped at a random time up to this long after the start.
+MAX_TIME_TO_LOSS_MS = 2000
 CHANGE_LIMIT = ms(5000)
-# How long a change goes on to be published after it was acknowledged.
+# How long a change continues to be published after it was acknowledged.
 PUBLISHED_AFTER = ms(300)
 MANY_LABELS = 4000
 
 
 def start_deployment(seed: int, shape: str) -> client_deployment.Deployment:
-    """A deployment of a preset shape that has started, in a world of its own."""
+    """Start a deployment of a preset shape in a new simulated world and return it."""
     deployment = client_deployment.Deployment(simulated_world.World(seed), deployments.PRESETS[shape])
     deployment.start()
     return deployment
 
 
 def kill(leader: simulated_node.Node) -> None:
-    """End a leader at once."""
+    """Kill a leader immediately."""
     leader.kill()
 
 
 def freeze(leader: simulated_node.Node) -> None:
-    """Let a leader stand still until all is over."""
+    """Pause a leader for SUCCESSOR_LIMIT, longer than the measurement."""
     leader.pause(SUCCESSOR_LIMIT)
 
 
-def hand_over(leader: simulated_node.Node) -> None:
-    """Ask a leader to stop: it hands over first."""
+def stop_gracefully(leader: simulated_node.Node) -> None:
+    """Stop a leader gracefully: it transfers leadership first."""
     leader.feed('stop')
 
 
-ENDS = {'killed': kill, 'frozen': freeze, 'handed over': hand_over}
+LOSSES = {'killed': kill, 'frozen': freeze, 'handed over': stop_gracefully}
 
 
 def gap(seeds: int = 100, shape: str = 'small') -> dict:
-    """Virtual ms from a leader's end to the successor's first version in force, by how it ends."""
+    """Return virtual ms from a leader's loss to its successor's first version in force, by the kind of loss."""
     found = {}
     lease_ms = durations.to_ms(settings.Settings().lease)
-    for name, end in ENDS.items():
+    for name, end in LOSSES.items():
         gaps_ms = [gap_ms(seed, shape, end) for seed in range(1, seeds + 1)]
         found[name] = {**figures.spread(gaps_ms), 'over_lease': sum(each > lease_ms for each in gaps_ms)}
     return found
 
 
 def gap_ms(seed: int, shape: str, end: collections.abc.Callable[[simulated_node.Node], None]) -> int:
-    """Virtual ms from the end of one leader to its successor's first version in force."""
+    """Return virtual ms from the loss of one leader to its successor's first version in force."""
     world = start_deployment(seed, shape).world
-    world.run(ms(world.rng.uniform(0, LONGEST_CALM_MS)))
+    world.run(ms(world.rng.uniform(0, MAX_TIME_TO_LOSS_MS)))
     old, began = world.leader(), world.now
     end(old)
     world.run(SUCCESSOR_LIMIT, lambda: world.leader() not in (None, old))
@@ -69,7 +69,7 @@
 
 
 def bytes_per_change(shape: str = 'small') -> dict[str, int]:
-    """Bytes published for one change, by what is changed, beside those of all routes."""
+    """Return the bytes published for each kind of change, and the bytes of all routes for comparison."""
     deployment = start_deployment(1, shape)
     world = deployment.world
     found = {'members': len(world.nodes)}
@@ -91,7 +91,7 @@
 
 
 def published_bytes(deployment: client_deployment.Deployment, change: collections.abc.Callable[[dict], None]) -> int:
-    """Bytes published for a change of the configuration, which `change` makes in place."""
+    """Return the bytes published for a change of the configuration, which `change` applies in place."""
     world = deployment.world
     before = world.bytes.get('pub', 0)
     statuses: list[int] = []
--- a/zinctrail/simulation/loopback/__init__.py
+++ b/zinctrail/simulation/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Measures one real process under load on loopback; the command is in `__main__`."""
+"""Load tests of one real process on the loopback interface; the command is in `__main__`."""
--- a/zinctrail/simulation/loopback/__main__.py
+++ b/zinctrail/simulation/loopback/__main__.py
@@ -1,12 +1,13 @@
-"""One real process under load on loopback: processor time a request, and the time that it adds.
+"""Load on one real process over loopback: processor time per request and added latency.
 
-  python -m zinctrail.simulation.loopback [WHAT ...]       measure, into docs/capacity/loopback.json
+  python -m zinctrail.simulation.loopback [WHAT ...]       measure (default: all) into docs/capacity/loopback.json
 
 WHAT is open (open traffic through a proxy, by rate), open_large (the same with
-the state of docs/CAPACITY.md's size), beat and answer (calls at a control
-node, by the nodes it knows). The process under load is the real host and
-machine, with sockets; its lease and its state are put into it at the start.
-Requests come at random times, half of them straight to the endpoint.
+the state of docs/CAPACITY.md's size), open_pool (the same, by the endpoints of the
+pool), beat and answer (heartbeats and lookups at a control node, by the nodes it
+knows). The process under load runs the real host and state machine, with sockets;
+its lease and its state are set at the start. Requests are sent at random times. Of
+open traffic, half of the requests go directly to the endpoint, for comparison.
 """
 
 import json
@@ -24,7 +25,7 @@
 
 @defer.inlineCallbacks
 def run(names: list[str]):
-    """Run measurements, all without a name, into docs/capacity/loopback.json."""
+    """Run measurements (all, if none is named) and save them into docs/capacity/loopback.json."""
     document = records.load(records.LOOPBACK)
     try:
         for name in names or measurements.RUNS:
@@ -47,7 +48,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the command; returns the exit status."""
+    """Run the command and return the exit status."""
     if arguments[:1] == ['child']:
         children.serve(arguments[1:])
         return 0
--- a/zinctrail/simulation/loopback/children.py
+++ b/zinctrail/simulation/loopback/children.py
@@ -1,4 +1,4 @@
-"""The processes of a measurement: an endpoint, and the proxy or control node under load."""
+"""Child processes of a measurement: an endpoint, and the proxy or control node under load."""
 
 import contextlib
 import json
@@ -28,15 +28,15 @@
 RESPONSE_BODY = b'{"done": true}'
 # Longer than any measurement.
 ENDLESS_LEASE = durations.ms(10**8)
-# What a process prints once it listens.
+# The line that a child process prints once it listens.
 READY = 'ready'
 
 
 class EndpointRequest(http.Request):
-    """Answers at once, as an endpoint without our library does."""
+    """Responds immediately, as a plain endpoint does (one that does not use the zinctrail library)."""
 
     def process(self):
-        """Respond to a request."""
+        """Send the fixed response."""
         self.setHeader('zt-id', self.getHeader('zt-id') or '')
         self.setHeader('zt-stamp', 'x' * 24)
         self.setHeader('zt-load', '1,0,6')
@@ -46,7 +46,7 @@
 
 
 class EndpointFactory(http.HTTPFactory):
-    """Connections of an endpoint, without a log."""
+    """Creates the server connections of an endpoint, without an access log."""
 
     noisy = False
 
@@ -54,42 +54,42 @@
         """Log nothing."""
 
     def buildProtocol(self, addr):  # noqa: N802  The name is Twisted's.
-        """A connection whose requests are answered at once."""
+        """Return a connection whose requests are handled by EndpointRequest."""
         channel = super().buildProtocol(addr)
         getattr(channel, '_channel', channel).requestFactory = EndpointRequest
         return channel
 
 
-class UnmeasuredDisk:
-    """A disk whose work is not measured here: it does none."""
+class NullDisk:
+    """A disk that discards all effects, because disk work is not measured here."""
 
     def carry_out(self, effect) -> None:
-        """Take a disk effect."""
+        """Discard a disk effect."""
 
 
 class Addresses(typing.NamedTuple):
-    """Where the processes of one measurement listen."""
+    """The addresses on which the processes of one measurement listen."""
 
     peers: str
     api: str
-    front: str
+    ingress: str
     endpoint: str
 
 
 def serve_endpoint(address: str) -> None:
-    """Listen as an endpoint."""
+    """Start an endpoint that listens on an address."""
     ip, _, port = address.rpartition(':')
     reactor.listenTCP(int(port), EndpointFactory(), interface=ip)
 
 
 def serve_role(role: str, size: sizes.Size, addresses: Addresses) -> None:
-    """Listen as a proxy ('prox') or a control node ('core') that holds a state and a lease."""
+    """Start a proxy ('prox') or a control node ('core') that holds the state of a size and a lease."""
     is_proxy = role == 'prox'
-    front = addresses.front if is_proxy else ''
-    location = node_location.NodeLocation(addresses.peers, addresses.api, 'r0/z0', [], front, directory=True)
+    ingress = addresses.ingress if is_proxy else ''
+    location = node_location.NodeLocation(addresses.peers, addresses.api, 'r0/z0', [], ingress, directory=True)
     machine_class = proxy_node.Proxy if is_proxy else controller.Controller
     machine = machine_class(location, settings.Settings(), random.Random(1))
-    served = host.Host(machine, reactor, UnmeasuredDisk())
+    served = host.Host(machine, reactor, NullDisk())
     served.start()
     machine.timers.clear()
     machine.cluster, machine.term, machine.mode = scale_state.CLUSTER, 1, 'follower'
@@ -101,11 +101,11 @@
 
 
 def tables_with_endpoint(size: sizes.Size, address: str) -> scale_state.Tables:
-    """The state of a size, with all endpoints at one address."""
+    """Return the state of a size, with all endpoints at one address."""
     tables = scale_state.state_tables(size)
     for number, row in enumerate(tables['endpoints'].values()):
         row['addr'] = address
-        # Only those of the first pool, because requests go to one pool.
+        # The first POOL_SIZE endpoints form the one pool that requests go to.
         if number < POOL_SIZE:
             row['service'] = POOL
     tables['items']['rules/route-0']['row'].update(pool=POOL, once=False)
@@ -113,7 +113,7 @@
 
 
 def serve(arguments: list[str]) -> None:
-    """Be one of the processes: `end ADDRESS`, or `ROLE SIZE ADDRESS...`."""
+    """Run one of the child processes: `end ADDRESS`, or `ROLE SIZE ADDRESS...`."""
     role, *rest = arguments
     if role == 'end':
         serve_endpoint(rest[0])
@@ -125,12 +125,12 @@
 
 @contextlib.contextmanager
 def child(*arguments: str):
-    """A process of this module that listens; it is killed in the end."""
+    """Start a child process, wait until it listens, and kill it at the end of the context."""
     command = [sys.executable, '-m', 'zinctrail.simulation.loopback', 'child', *arguments]
     process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     try:
         if process.stdout.readline() != f'{READY}\n':
-            raise AssertionError(f'{arguments[0]} did not start')
+            raise AssertionError(f'child process {arguments[0]} did not start')
         yield process
     finally:
         process.send_signal(signal.SIGKILL)
@@ -138,7 +138,7 @@
 
 
 def free_addresses() -> Addresses:
-    """Addresses on loopback at which nobody listens."""
+    """Return unused addresses on loopback."""
     ports = processes.Ports()
     addresses = Addresses(*(ports.take() for _ in Addresses._fields))
     ports.free(*addresses)
@@ -146,13 +146,13 @@
 
 
 def spent_ms(process: subprocess.Popen) -> float:
-    """Processor time of a process so far."""
+    """Return the processor time of a process so far, in ms."""
     with open(f'/proc/{process.pid}/schedstat') as file:
         return int(file.read().split()[0]) / 1e6
 
 
 def rss_mb(process: subprocess.Popen) -> float:
-    """The resident memory of a process."""
+    """Return the resident memory of a process in MB."""
     with open(f'/proc/{process.pid}/statm') as file:
         pages = int(file.read().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE') / (1 << 20)
--- a/zinctrail/simulation/loopback/load.py
+++ b/zinctrail/simulation/loopback/load.py
@@ -1,4 +1,4 @@
-"""The load: requests at random times, and what is noted of their results."""
+"""The load generator: sends requests at random times and records their results."""
 
 import collections.abc
 import functools
@@ -21,18 +21,18 @@
 
 WARM_UP_RATE = 20
 OPEN_WARM_UP_S, CONTROL_WARM_UP_S = 2, 1
-FEWEST_REQUESTS = 2
+MIN_REQUESTS = 2
 PERCENTILES = (50, 90, 99)
-# The ways of a request: through the proxy, and straight to the endpoint.
-THROUGH, STRAIGHT = 'through', 'straight'
+# The paths of a request: through the proxy, and directly to the endpoint.
+THROUGH, DIRECT = 'through', 'straight'
 
 
 def random_times(rate: float, seconds: float, seed: int | str) -> list[float]:
-    """When requests are sent: `rate` a second at random times, two at least."""
+    """Return the times at which requests are sent: at random, `rate` per second, two at least."""
     rng = random.Random(seed)
     times: list[float] = []
     at = rng.expovariate(rate)
-    while at <= seconds or len(times) < FEWEST_REQUESTS:
+    while at <= seconds or len(times) < MIN_REQUESTS:
         times.append(at)
         at += rng.expovariate(rate)
     return times
@@ -41,20 +41,20 @@
 def send_requests(
     rate: float, seconds: float, seed: int | str, send: collections.abc.Callable[[int], defer.Deferred]
 ) -> defer.Deferred:
-    """Call send(0), send(1) and so on at random times; the Deferred fires when all have come back."""
+    """Call send(0), send(1) and so on at random times; the Deferred fires when all requests have finished."""
     done: defer.Deferred = defer.Deferred()
     times = random_times(rate, seconds, seed)
-    left = len(times)
+    remaining = len(times)
 
-    def came_back(result):
-        nonlocal left
-        left -= 1
-        if not left:
+    def on_finished(result):
+        nonlocal remaining
+        remaining -= 1
+        if not remaining:
             done.callback(None)
         return result
 
     def send_one(number):
-        send(number).addBoth(came_back)
+        send(number).addBoth(on_finished)
 
     for number, at in enumerate(times):
         reactor.callLater(at, send_one, number)
@@ -62,17 +62,17 @@
 
 
 class OpenTraffic:
-    """Requests of open traffic on both ways, with the times of those that went well."""
+    """Open traffic through the proxy and directly to the endpoint; holds the latencies of successful requests."""
 
     def __init__(self, addresses: children.Addresses, seed: int):
-        self.targets = {THROUGH: addresses.front, STRAIGHT: addresses.endpoint}
+        self.targets = {THROUGH: addresses.ingress, DIRECT: addresses.endpoint}
         self.seed = seed
         self.client = endpoint_client.EndpointClient(reactor)
         self.times_ms: dict[str, list[float]] = {way: [] for way in self.targets}
-        self.faults = 0
+        self.errors = 0
 
     def send(self, way: str, number: int) -> defer.Deferred:
-        """One request."""
+        """Send one request through the proxy or directly."""
         began = time.perf_counter()
         headers = {
             'host': 'host-0.example',
@@ -82,31 +82,31 @@
         }
         target = self.targets[way]
         fetched = self.client.fetch(way, target, 'POST', '/v1/part-0/x', headers, REQUEST_BODY, TIMEOUT, False)
-        return fetched.addCallback(self.note_result, way, began)
+        return fetched.addCallback(self.record_result, way, began)
 
-    def note_result(self, result: effects.HttpResult, way: str, began: float) -> None:
-        """Note how a request went."""
+    def record_result(self, result: effects.HttpResult, way: str, began: float) -> None:
+        """Record the latency of a successful request, or count an error."""
         if result.status != 200 or result.fault:
-            self.faults += 1
+            self.errors += 1
         else:
             self.times_ms[way].append(1000 * (time.perf_counter() - began))
 
     @defer.inlineCallbacks
     def warm_up(self):
-        """Send some, so that opening connections and filling caches are not measured."""
+        """Send some requests, so that opening connections and filling caches are not measured."""
         for way in self.targets:
-            # Negative, because an id must not come again in the measurement.
+            # Numbers are negated, because no request id may be reused in the measurement.
             send = functools.partial(self.send_warm_up, way)
             yield send_requests(WARM_UP_RATE, OPEN_WARM_UP_S, f'{self.seed}/{way}/warm', send)
         for times in self.times_ms.values():
             times.clear()
 
     def send_warm_up(self, way: str, number: int) -> defer.Deferred:
-        """One request whose id does not come again."""
+        """Send one request with an id that the measurement does not use."""
         return self.send(way, -number)
 
     def run(self, rate: float, seconds: float) -> defer.Deferred:
-        """Send on both ways at the same time; the Deferred fires when all have come back."""
+        """Send through the proxy and directly at the same time; the Deferred fires when all requests have finished."""
         return defer.gatherResults(
             send_requests(rate, seconds, f'{self.seed}/{way}', functools.partial(self.send, way))
             for way in self.targets
@@ -114,7 +114,7 @@
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """How many values there are, and their percentiles."""
+    """Return the number of values and their percentiles."""
     ordered = sorted(values)
     last = len(ordered) - 1
     return {
@@ -124,33 +124,33 @@
 
 
 class ControlCalls:
-    """Heartbeats of one endpoint, or resolutions, at a control node."""
+    """Sends heartbeats of one endpoint, or lookups, to a control node and counts the results."""
 
     def __init__(self, kind: str, size: sizes.Size, addresses: children.Addresses):
         self.kind, self.address = kind, addresses.api
         self.client = endpoint_client.EndpointClient(reactor)
-        self.answered = self.faults = 0
+        self.succeeded = self.errors = 0
         document = heartbeat(size, addresses.endpoint) if kind == 'beat' else {'cell': 'r0/z0', 'front': True}
         self.body = json.dumps(document).encode()
 
     def send(self, number: int) -> defer.Deferred:
-        """One call."""
+        """Send one call."""
         headers = {'host': self.address, 'content-type': 'application/json'}
         fetched = self.client.fetch(
             'node', self.address, 'POST', f'/v1/{self.kind}', headers, self.body, TIMEOUT, False
         )
-        return fetched.addCallback(self.note_result)
+        return fetched.addCallback(self.record_result)
 
-    def note_result(self, result: effects.HttpResult) -> None:
-        """Note how a call went."""
+    def record_result(self, result: effects.HttpResult) -> None:
+        """Count a call as succeeded or failed."""
         if result.status == 200 and not result.fault:
-            self.answered += 1
+            self.succeeded += 1
         else:
-            self.faults += 1
+            self.errors += 1
 
 
 def heartbeat(size: sizes.Size, address: str) -> dict:
-    """The heartbeat of the first endpoint of a state."""
+    """Return the heartbeat of the first endpoint of a state."""
     incarnation, row = next(iter(scale_state.state_tables(size)['endpoints'].items()))
     known = {field: row[field] for field in ('service', 'cell', 'slots', 'state')}
     return {**known, 'addr': address, 'inc': incarnation, 'cold': 0, 'seq': 1, 'cold_ms': 0, 'pressure': 0.0}
--- a/zinctrail/simulation/loopback/measurements.py
+++ b/zinctrail/simulation/loopback/measurements.py
@@ -1,4 +1,4 @@
-"""What is measured: each measurement of `RUNS` is called with a seed, and gives a record as a Deferred."""
+"""The measurements: each one in `RUNS` is called with a seed and returns a Deferred of its figures."""
 
 import collections.abc
 import functools
@@ -14,7 +14,7 @@
 
 @defer.inlineCallbacks
 def measure_open_traffic(size: sizes.Size, rate: float, seconds: float, seed: int):
-    """Open traffic through a proxy, beside the same straight to the endpoint."""
+    """Measure open traffic through a proxy, compared with the same traffic directly to the endpoint."""
     addresses = children.free_addresses()
     with children.child('end', addresses.endpoint), children.child('prox', json.dumps(vars(size)), *addresses) as proxy:
         traffic = load.OpenTraffic(addresses, seed)
@@ -23,8 +23,8 @@
         yield traffic.run(rate, seconds)
         wall = time.perf_counter() - began
         spent, memory = children.spent_ms(proxy) - spent_before, children.rss_mb(proxy)
-    times = {way: load.percentiles(traffic.times_ms[way]) for way in (load.THROUGH, load.STRAIGHT)}
-    added = {key: times[load.THROUGH][key] - times[load.STRAIGHT][key] for key in ('p50', 'p90', 'p99')}
+    times = {way: load.percentiles(traffic.times_ms[way]) for way in (load.THROUGH, load.DIRECT)}
+    added = {key: times[load.THROUGH][key] - times[load.DIRECT][key] for key in ('p50', 'p90', 'p99')}
     return {
         'rate': rate,
         'seed': seed,
@@ -35,18 +35,18 @@
         'wall': wall,
         **times,
         'added': added,
-        'faults': traffic.faults,
+        'faults': traffic.errors,
     }
 
 
 @defer.inlineCallbacks
 def measure_control_calls(size: sizes.Size, kind: str, rate: float, seconds: float, seed: int):
-    """Calls at a control node: 'beat' or 'answer'."""
+    """Measure calls at a control node: heartbeats ('beat') or lookups ('answer')."""
     addresses = children.free_addresses()
     with children.child('core', json.dumps(vars(size)), *addresses) as node:
         calls = load.ControlCalls(kind, size, addresses)
         yield load.send_requests(load.WARM_UP_RATE, load.CONTROL_WARM_UP_S, f'{seed}/warm', calls.send)
-        calls.answered, spent_before = 0, children.spent_ms(node)
+        calls.succeeded, spent_before = 0, children.spent_ms(node)
         yield load.send_requests(rate, seconds, seed, calls.send)
         spent = children.spent_ms(node) - spent_before
     return {
@@ -54,9 +54,9 @@
         'rate': rate,
         'seed': seed,
         'size': vars(size),
-        'n': calls.answered,
-        'faults': calls.faults,
-        'cpu_ms': spent / max(1, calls.answered),
+        'n': calls.succeeded,
+        'faults': calls.errors,
+        'cpu_ms': spent / max(1, calls.succeeded),
     }
 
 
@@ -64,17 +64,17 @@
 LARGE = sizes.Size(nodes=12000, endpoints=75000, services=1900, routes=46000, tenants=470000, dirs=0)
 KNOWN_NODES = (10, 100, 1000, 10000)
 
-# A measurement of one seed.
+# A function that runs a measurement with a seed.
 Measurement = collections.abc.Callable[..., defer.Deferred]
 
 
 def open_traffic(size: sizes.Size, rate: float, seconds: float) -> Measurement:
-    """The measurement of open traffic at a rate, for a seed."""
+    """Return a measurement of open traffic at a rate."""
     return functools.partial(measure_open_traffic, size, rate, seconds)
 
 
 def control_calls(nodes: int, kind: str, rate: float) -> Measurement:
-    """The measurement of calls at a control node that knows so many nodes, for a seed."""
+    """Return a measurement of calls at a control node that knows `nodes` nodes."""
     return functools.partial(measure_control_calls, sizes.Size(nodes=nodes, endpoints=10), kind, rate, 5)
 
 
