--- a/features/steps/late_steps.py
+++ b/features/steps/late_steps.py
@@ -1,4 +1,4 @@
-"""Steps of late.feature: what comes late, or is asked again, does no harm."""
+"""Steps of late.feature: late messages and retries do no harm."""
 
 import json
 
@@ -11,18 +11,18 @@
 import zinctrail.simulation.world as world
 
 ms = durations.ms
-# Hop times that a response may take beyond the time that the request had left.
+# The network delays that a response may take beyond the time that its request had left.
 NETWORK_ALLOWANCE_MS = 10
 
 
 class PendingResponse:
-    """A call on its way; the fields are set once its response is there."""
+    """A pending call; the other fields are set when its response arrives."""
 
     def __init__(self):
         self.has_arrived = False
 
     def arrive(self, when, response):
-        """Take the response; a body that is no JSON counts as an empty document."""
+        """Store the response; a body that is not JSON counts as an empty document."""
         try:
             self.document = json.loads(response.body)
         except ValueError:
@@ -35,7 +35,7 @@
 
 
 def send_call(context, node, path, body, method='POST', wait=durations.ms(4000), headers=None):
-    """Call a node and return at once: a PendingResponse."""
+    """Call a node without waiting; returns a PendingResponse."""
     pending = PendingResponse()
     data = json.dumps(body).encode() if body is not None else b''
     call = context.world.fetch('someone', node.location.http, method, path, headers or {}, data, wait)
@@ -44,7 +44,7 @@
 
 
 def wait_for(context, pending, limit=durations.ms(15000)):
-    """Let time go on until the response is there, and return it."""
+    """Run the world until the response arrives, and return it."""
     assert context.world.run(limit, lambda: pending.has_arrived), 'no response'
     return pending
 
@@ -55,16 +55,16 @@
 
 
 def take_lock(context, node, holder):
-    """The response to an application that takes the lock for eight seconds."""
+    """Have an application take the lock for eight seconds; returns the response."""
     return call(context, node, '/v1/lock/take', {'name': 'l', 'holder': holder, 'lease_ms': 8000})
 
 
 def release_body(lock):
-    """The body by which application x releases what it took."""
+    """Return the body with which application x releases a lock that it took."""
     return {'name': 'l', 'holder': 'x', 'fence': lock.document['fence'], 'take': lock.document.get('take', '')}
 
 
-@behave.when('app x takes a lock, its freeing is held up at a frozen directory, and it takes the lock again')
+@behave.when('application x takes a lock, its release is delayed at a paused directory, and it takes the lock again')
 def release_is_held_up(context):
     directories = context.world.of('dir')
     taken = take_lock(context, directories[0], 'x')
@@ -77,14 +77,14 @@
     assert context.taken.document['fence'] == taken.document['fence'], context.taken
 
 
-@behave.then('after the directory woke, app y is not given the lock while x believes in it')
+@behave.then('after the directory resumes, application y is refused the lock while x believes that it holds it')
 def other_is_refused_after_release(context):
     context.world.run(ms(3000))
     response = take_lock(context, context.world.of('dir')[2], 'y')
     assert response.status == 409 and response.document['holder'] == 'x', response
 
 
-@behave.when('app x takes a lock and frees it twice')
+@behave.when('application x takes a lock and releases it twice')
 def lock_released_twice(context):
     directories = context.world.of('dir')
     context.taken = take_lock(context, directories[0], 'x')
@@ -93,7 +93,7 @@
         assert response.status == 200, response
 
 
-@behave.then('app y is given the lock under a higher fence')
+@behave.then('application y gets the lock with a higher fencing token')
 def other_gets_higher_fence(context):
     response = take_lock(context, context.world.of('dir')[2], 'y')
     assert response.status == 200, response
@@ -101,7 +101,7 @@
 
 
 def send_request(context, proxy, left_ms, request_id=None, attempt=1, home=None):
-    """(id, PendingResponse) of a request to the loans through a proxy."""
+    """Send a request to the service loans through a proxy; returns (id, PendingResponse)."""
     context.request_number = getattr(context, 'request_number', 0) + 1
     epoch = proxy.machine.replica.get('meta', 'epoch')
     request_id = request_id or f'{epoch}.late{context.request_number}'
@@ -113,12 +113,12 @@
 
 
 def kill_control_nodes(context):
-    """All control nodes crash."""
+    """Kill all control nodes."""
     for node in context.world.of('core'):
         node.kill()
 
 
-@behave.when('a claimed request is refused by its endpoint with {left:d} ms left and every core dies')
+@behave.when('a claimed request is refused by its endpoint with {left:d} ms left and all control nodes fail')
 def claimed_request_is_refused(context, left: int):
     for endpoint in context.deployment.endpoints:
         endpoint.refuses, endpoint.work_ms = True, (300, 300)
@@ -128,16 +128,16 @@
     kill_control_nodes(context)
 
 
-@behave.when('a request waits for its claim with {left:d} ms left and every core dies')
+@behave.when('a request waits for its claim with {left:d} ms left and all control nodes fail')
 def request_waits_for_claim(context, left: int):
     context.deployment.stop_load(ms(1500))
-    # They are frozen and not killed, so that no connection closes and the proxy goes on believing in its leader.
+    # They are paused and not killed, so that no connection closes and the proxy still considers its leader reachable.
     for node in context.world.of('core'):
         node.pause(ms(60000))
     _, context.response = send_request(context, context.world.of('prox')[0], left)
 
 
-@behave.when('a proxy knows no leader and a request comes with {left:d} ms left')
+@behave.when('a proxy knows no leader and a request arrives with {left:d} ms left')
 def proxy_knows_no_leader(context, left: int):
     context.deployment.stop_load(ms(1500))
     kill_control_nodes(context)
@@ -147,14 +147,14 @@
     _, context.response = send_request(context, proxy, left)
 
 
-@behave.then('it is told {outcome} within {limit:d} ms')
-def told_in_time(context, outcome: str, limit: int):
+@behave.then('it gets outcome {outcome} within {limit:d} ms')
+def outcome_arrives_in_time(context, outcome: str, limit: int):
     response = wait_for(context, context.response)
     assert response.when - context.began <= ms(limit + NETWORK_ALLOWANCE_MS), (response, context.began)
     assert response.document['outcome'] == outcome, response
 
 
-@behave.given('a small world whose loans are one endpoint of one slot that takes a second')
+@behave.given('a small world whose service loans has one endpoint with one slot and requests that take a second')
 def world_with_one_slot(context):
     context.world = world.World(5)
     shape = dict(deployments.PRESETS['small'], services={'catalog': 3, 'loans': 1})
@@ -163,26 +163,26 @@
         if endpoint.service == 'loans':
             endpoint.slots, endpoint.work_ms = 1, (1000, 1000)
     context.deployment.start()
-    # A proxy judges what can be served in time by how long the service usually takes.
+    # A proxy estimates from the usual duration of the service which requests can be served in time.
     for _ in range(3):
         wait_for(context, send_request(context, context.world.of('prox')[0], 5000)[1])
 
 
-@behave.when('{count:d} requests come at once with {left:d} ms left each')
+@behave.when('{count:d} requests arrive at once with {left:d} ms left each')
 def requests_come_at_once(context, count: int, left: int):
     context.responses = [send_request(context, context.world.of('prox')[0], left)[1] for _ in range(count)]
     context.world.run(ms(left + 2000))
 
 
-@behave.then('those that can not be served in time are told not-run within {limit:d} ms, with when to come back')
+@behave.then('those that cannot be served in time get outcome not-run within {limit:d} ms, with a time to retry')
 def hopeless_are_refused_at_once(context, limit: int):
     assert all(response.has_arrived for response in context.responses), 'some got no response'
-    # Known by the endpoint's name and not by status: endpoints answer one in 25 with a 404 or 500 of their own.
+    # Recognized by the endpoint's name and not by the status: endpoints respond to one request in 25 with 404 or 500.
     executed = [response for response in context.responses if 'by' in response.document]
     refused = [response for response in context.responses if 'by' not in response.document]
     assert len(executed) in (2, 3), context.responses
     late = [response for response in refused if response.when - context.began > ms(limit)]
-    # One may be late: by the usual duration it could have been served when it came.
+    # One may be late: by the usual duration, it could have been served when it arrived.
     assert len(late) <= 1, late
     assert all(
         response.document['outcome'] == 'not-run' and response.document.get('retry_ms')
@@ -191,12 +191,12 @@
     ), refused
 
 
-@behave.when('an id ran in r0 and is sent again for home r1 through {proxy}')
+@behave.when('a request ran in r0 and is retried with home r1 through {proxy}')
 def id_is_sent_again_for_other_home(context, proxy: str):
     context.deployment.stop_load(ms(1500))
     first, second = (proxy_of_region(context, region) for region in ('r0', 'r1'))
     if proxy.startswith('the same'):
-        # Only endpoints of r0 are left, so that what it carries without a home runs there.
+        # Only endpoints of r0 remain, so that requests without a home region run there.
         first = second
         for endpoint in context.deployment.endpoints:
             if not endpoint.cell.startswith('r0'):
@@ -208,17 +208,17 @@
 
 
 def proxy_of_region(context, region):
-    """The first proxy of a region."""
+    """Return the first proxy of a region."""
     return next(node for node in context.world.of('prox') if node.location.cell.startswith(region))
 
 
-@behave.then('it is told unknown, without the reply of r0')
+@behave.then('it gets outcome unknown, without the response of r0')
 def unknown_without_reply(context):
     response = wait_for(context, context.response)
     assert response.headers.get('zt-outcome') == 'unknown' and 'by' not in response.document, response
 
 
-@behave.when('a change is accepted, {between}, and it is asked for again with its id')
+@behave.when('a change is accepted, {between}, and it is retried with its id')
 def change_is_asked_for_again(context, between: str):
     small_world, directories = context.world, context.world.of('dir')
     current = call(context, directories[0], '/v1/config', None, 'GET').document
@@ -241,14 +241,14 @@
     context.again = call(context, directories[1], '/v1/config', context.body, 'PUT')
 
 
-@behave.then('it is told the first version, and nothing is changed again')
-def told_the_first_version(context):
+@behave.then('it gets the first version, and nothing is changed again')
+def retry_gets_first_version(context):
     first, again = context.first, context.again
     assert (again.status, again.document) == (first.status, first.document), (first, again)
     assert call(context, context.world.of('dir')[0], '/v1/config', None, 'GET').document == context.before
 
 
-@behave.when('a request runs longer than its caller waits and is then sent again')
+@behave.when('a request runs longer than its caller waits and is then retried')
 def request_outlives_its_caller(context):
     context.deployment.stop_load(ms(1500))
     for endpoint in context.deployment.endpoints:
@@ -260,7 +260,7 @@
     _, context.response = send_request(context, proxy, 2000, context.request_id, 2)
 
 
-@behave.then('the repeat is given the reply of the one run')
+@behave.then('the retry gets the response of the only run')
 def retry_gets_the_one_reply(context):
     response = wait_for(context, context.response)
     assert response.status in (200, 404, 500) and response.headers['zt-outcome'] == 'ran', response
@@ -268,9 +268,9 @@
     assert sum(run.id == context.request_id for run in context.deployment.notes.runs) == 1
 
 
-@behave.when('a change is accepted and another is asked for with its id')
+@behave.when('a change is accepted and another is requested with its id')
 def id_of_another_change(context):
-    context.execute_steps('when a change is accepted, its reply gets lost, and it is asked for again with its id')
+    context.execute_steps('when a change is accepted, its response is lost, and it is retried with its id')
     context.body['config']['labels']['10.9.9.9:1'] = {'by': 'another'}
     context.response = call(context, context.world.of('dir')[2], '/v1/config', context.body, 'PUT')
 
@@ -280,7 +280,7 @@
     assert context.response.status == status, context.response
 
 
-@behave.given("a small world whose leader's clock goes {percent:d} percent faster, with {slack:f} slack")
+@behave.given("a small world whose leader's clock is {percent:d} percent faster, with {slack:f} slack")
 def leader_clock_runs_fast(context, percent: int, slack: float):
     context.world = world.World(5, settings.Settings(slack=slack))
     context.deployment = client_deployment.Deployment(context.world, deployments.PRESETS['small'])
@@ -289,7 +289,7 @@
     context.deployment.start()
 
 
-@behave.when('app x takes a lock for {lease:d} ms and app y asks for it {after:d} ms later')
+@behave.when('application x takes a lock for {lease:d} ms and application y requests it {after:d} ms later')
 def lock_asked_for_before_its_end(context, lease: int, after: int):
     directory = context.world.of('dir')[0]
     taken = call(context, directory, '/v1/lock/take', {'name': 'l', 'holder': 'x', 'lease_ms': lease})
@@ -298,6 +298,6 @@
     context.response = take_lock(context, directory, 'y')
 
 
-@behave.then('app y is {verdict}')
+@behave.then('application y is {verdict}')
 def lock_verdict(context, verdict: str):
-    assert context.response.status == {'refused': 409, 'given it': 200}[verdict], context.response
+    assert context.response.status == {'refused': 409, 'granted it': 200}[verdict], context.response
--- a/zinctrail/simulation/catch_up.py
+++ b/zinctrail/simulation/catch_up.py
@@ -197,7 +197,7 @@
         node.disk.files, node.disk.synced = {}, {}
 
     def slow_link(self, name: str, mbit: float) -> None:
-        """Limit the links from and to one process to a bandwidth in Mbit/s."""
+        """Limit each link from and to one process to a bandwidth in Mbit/s."""
         bytes_per_second = mbit * 1e6 / BITS_PER_BYTE
         for other in self.world.nodes:
             if other != name:
@@ -250,7 +250,7 @@
     # -- observations ------------------------------------------------------
 
     def has_caught_up(self, node: Node) -> bool:
-        """Return whether a process lacks at most MAX_VERSIONS_IN_FLIGHT of the committed versions."""
+        """Return whether a process lacks at most MAX_VERSIONS_IN_FLIGHT of the versions committed for its role."""
         leader = self.leader()
         if leader is None or not node.up:
             return False
--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -24,7 +24,8 @@
 # How the processes start: all at once, over half a minute, with lost frames, partitioned into two groups (split*), or
 # interrupted by power losses.
 MODES = ('together', 'late', 'lossy', 'split', 'split_uneven', 'split_roles', 'cut_short')
-# The most disks that are lost in an interrupted first start, and the time from the start or restart to the power loss.
+# The most disks that are lost in an interrupted first start, and the earliest and latest time of the power loss after a
+# start or restart.
 MAX_DISKS_LOST = 2
 INTERRUPT_FROM_MS, INTERRUPT_BY_MS = 600, 4000
 # The most that a process may restart later than the others, and the fraction of processes that do.
@@ -81,7 +82,7 @@
         return self
 
     def split(self) -> None:
-        """Partition the processes into two groups: halves, a few and the rest, or a random half of each role."""
+        """Partition the processes into two groups; `split_roles` divides the control nodes and the rest separately."""
         names = sorted(self.world.nodes)
         if self.mode == 'split_roles':
             side = {name for name in names if name.startswith('core') and self.rng.random() < 0.5}
@@ -117,7 +118,7 @@
         return False
 
     def is_settled(self) -> bool:
-        """Return whether there is a leader and every process knows a leader."""
+        """Return whether a majority follows a leader and every process knows a leader."""
         self.record_clusters()
         return self.world.leader() is not None and all(node.machine.leader for node in self.world.nodes.values())
 
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -121,7 +121,7 @@
         self.cuts = {cut: True for cut in self.cuts if names and not (cut[0] in names or cut[1] in names)}
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether the link from one party to another is cut."""
+        """Return whether the link from one party to another is cut."""
         return (source, target) in self.cuts
 
     def reset(self, node: 'simulated_node.Node', share: float) -> None:
