--- a/features/days.feature
+++ b/features/days.feature
@@ -1,5 +1,5 @@
-Feature: Days of faults that once went wrong
-  Each row's faults and seed are kept because they once showed a fault of ours.
+Feature: Simulated scenarios that once violated a rule
+  Each row's faults and seed are kept because they once revealed a defect of the system.
 
   Scenario Outline: Seed <seed>: <faults>
     Given a day of <faults> under seed <seed>
@@ -12,6 +12,6 @@
       | 1105 | kill_many+isolate_master+replace_core,large_config+replace_core           |
       | 5087 | isolate_proxy+stale_passed_on+storm,kill_all+cell_lost                    |
 
-  Scenario: A day is the same again, whatever Python makes of hashes
-    When the day kill_many+storm,stale_evacuate of seed 4 runs under two hash seeds
-    Then all that happened in them is the same
+  Scenario: A scenario is reproducible, whatever hash seed Python uses
+    When the scenario kill_many+storm,stale_evacuate of seed 4 runs under two hash seeds
+    Then both runs are identical
--- a/features/simulator.feature
+++ b/features/simulator.feature
@@ -1,7 +1,7 @@
-Feature: The simulator brings about every kind of trouble, and judges no stricter and no laxer than the rules
+Feature: The simulator injects every kind of fault, and its checkers are neither stricter nor laxer than the rules
 
-  Scenario Outline: Trouble <kind> can be brought about: <faults>
-    Then the simulator's registry of troubles has <faults>
+  Scenario Outline: Kind <kind> can be injected: <faults>
+    Then the simulator's fault registry has <faults>
     Examples: clients and endpoints
       | kind               | faults |
       | retry_abuse, burst | retry_abuse crowd |
@@ -52,19 +52,19 @@
       | evacuate           | evacuate evacuate_warm |
 
   Scenario Outline: An isolated process reaches no endpoint, <traffic>
-    Given a simulated day of <traffic>
+    Given a simulated scenario with <traffic>
     When a proxy is isolated
-    Then its calls to each endpoint end without an answer
-    And once healed they are answered
+    Then its calls to each endpoint end without a response
+    And after the partition is healed they get responses
     Examples:
       | traffic        |
       | library calls  |
       | open traffic   |
 
-  Scenario Outline: A rule acknowledged at 10.080 s and asked for at <at> s, 404: <verdict>
-    Given notes of a rule acknowledged at 10.080 s, and <requests> requests for it at <at> s that got 404
+  Scenario Outline: A rule acknowledged at 10.080 s and requests at <at> s with status 404: <checker> finds <verdict>
+    Given records of a rule acknowledged at 10.080 s, and <requests> requests for it at <at> s that got 404
     Then checker <checker> says <verdict>
-    Examples: inside the bound of 3 s no rule at all may be in force still, after it the rule must be
+    Examples: the rule may take 3 s after its acknowledgement to come into force, and must be in force after that
       | checker | requests | at     | verdict   |
       | config  | 1        | 10.090 | nothing   |
       | config  | 1        | 13.079 | nothing   |
@@ -72,27 +72,27 @@
       | denied  | 20       | 10.090 | nothing   |
       | denied  | 20       | 13.081 | something |
 
-  Scenario Outline: A newer version of a rule inside its bound, <checker>
-    Given notes of a rule in force since 5.000 s, changed at 10.080 s, with 20 requests for it at 10.090 s that got 404
+  Scenario Outline: A newer version of a rule within its time limit, <checker>
+    Given records of a rule in force since 5.000 s, changed at 10.080 s, with 20 requests for it at 10.090 s that got 404
     Then checker <checker> says something
     Examples:
       | checker |
       | config  |
       | denied  |
 
-  Scenario: A drained endpoint serves on for 800 ms after its time
-    Given a simulated day of open traffic
+  Scenario: A drained endpoint continues to serve for 800 ms after the end of its drain time
+    Given a simulated scenario with open traffic
     When a simulated endpoint drains
-    Then it is up 3.7 s after the acknowledgement, and gone at 4.5 s
+    Then it is up 3.7 s after the acknowledgement, and down at 4.5 s
 
-  Scenario: A connection that an endpoint dropped without notice is reset at its next use, and new after that
-    Given a simulated day of open traffic
-    When an endpoint drops connections that rested for 300 ms
-    Then a call right after another is answered, one 400 ms later is reset and runs nothing, and the next is answered
+  Scenario: A connection that an endpoint dropped without notice is reset at its next use, and then replaced
+    Given a simulated scenario with open traffic
+    When an endpoint drops connections that were idle for 300 ms
+    Then a call right after another succeeds, one 400 ms later is reset and does not run, and the next succeeds
 
-  Scenario Outline: An endpoint ill by <how>
-    Given a simulated day of open traffic
-    When an endpoint answers every request by <how>
+  Scenario Outline: An endpoint with failure mode <how>
+    Given a simulated scenario with open traffic
+    When an endpoint fails every request by <how>
     Then a call there ends as <outcome>, and ran <runs> times
     Examples:
       | how    | outcome         | runs |
@@ -103,16 +103,16 @@
       | mute   | late            | 0    |
       | reset  | connection lost | 0    |
 
-  Scenario: A reset breaks the calls under way at a process, and the process goes on
-    Given a simulated day of open traffic
-    When all connections of a proxy are reset while it has calls under way
-    Then their callers are told that the connection was lost
+  Scenario: A reset breaks the pending calls of a process, and the process continues
+    Given a simulated scenario with open traffic
+    When all connections of a proxy are reset while it has pending calls
+    Then their callers notice that the connection was lost
     And the proxy serves again within a second
 
-  Scenario: Faults joined by a colon follow one another within three seconds
-    Given an open day of "srv_crash+hup:node_kill_master:core_cut" whose faults are noted as they begin
+  Scenario: A fault after a colon follows the one before within three seconds
+    Given an open scenario of "srv_crash+hup:node_kill_master:core_cut" whose faults are recorded as they begin
     Then the first two begin together, and each of the others 0.1 to 3 s after the one before
 
-  Scenario: A search joins faults both ways, and leaves them out one by one
-    Then of 50 planned days some have faults that begin together and some that follow
+  Scenario: A search joins faults in both ways, and removes them one by one
+    Then of 50 planned scenarios some have faults that begin together and some that follow
     And "a+b:c" without its first fault is "b:c", and without its second "a:c"
--- a/features/steps/days_steps.py
+++ b/features/steps/days_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the features of days: what the checkers find, and what they must find once a guard is off."""
+"""Steps of simulated scenarios: what checkers find, and must find when a guard is switched off."""
 
 import contextlib
 import os
@@ -35,9 +35,9 @@
 
 
 def run_scenario(names: list[str], seed: int, checker: str) -> days.Scenario:
-    """Run a day of faults for a checker.
+    """Run a scenario for a checker.
 
-    Plain endpoints keep to the interface and defend nothing: what holds with them is ours.
+    Plain endpoints only implement the interface and protect nothing, so that the guarantees rest on the system alone.
     """
     scenario = days.Scenario(
         seed,
@@ -156,7 +156,7 @@
 
 def no_elections(own_election, original=election.Election.plan):
     """Nobody stands for election."""
-    # Not at first, because the day has to begin.
+    # Elections work at first, because the scenario has to start.
     if own_election.voter.now < ms(11000):
         original(own_election)
 
@@ -218,7 +218,7 @@
     for seed in context.seeds:
         scenario = context.make(context.names, seed, checker)
         assert scenario.verdicts(checker) == [], (scenario.verdicts(checker)[:5], scenario.replay_command())
-        # A day in which nothing was served, or no fault had a target, would prove nothing.
+        # A scenario in which no requests ran, or a fault had no target, would prove nothing.
         assert len(scenario.deployment.notes.runs) > 500, scenario.deployment.tally()
         assert not scenario.ineffective, scenario.ineffective
 
@@ -247,8 +247,8 @@
 """
 
 
-def digest_of_day(names: str, seed: int, hash_seed: str) -> str:
-    """The digest of all that happened in a day that a process of its own ran."""
+def digest_of_scenario(names: str, seed: int, hash_seed: str) -> str:
+    """Run a scenario in a separate process; returns a digest of all that happened in it."""
     done = subprocess.run(
         [sys.executable, '-c', DIGEST, str(seed), names],
         text=True,
@@ -259,12 +259,12 @@
     return done.stdout
 
 
-@behave.when('the day {names} of seed {seed:d} runs under two hash seeds')
-def day_runs_under_two_hash_seeds(context, names: str, seed: int):
-    context.digests = [digest_of_day(names, seed, hash_seed) for hash_seed in ('1', '2')]
+@behave.when('the scenario {names} of seed {seed:d} runs under two hash seeds')
+def scenario_runs_under_two_hash_seeds(context, names: str, seed: int):
+    context.digests = [digest_of_scenario(names, seed, hash_seed) for hash_seed in ('1', '2')]
 
 
-@behave.then('all that happened in them is the same')
+@behave.then('both runs are identical')
 def runs_are_the_same(context):
     assert len(context.digests[0]) == 65 and len(set(context.digests)) == 1, context.digests
 
--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -1,7 +1,6 @@
-"""Days of open traffic: what its checkers must see once a guard is off; kept seeds.
+"""Steps of simulated scenarios of open traffic: what checkers must find when a guard is off, and regression seeds.
 
-The steps that judge ("checker ... finds nothing", "with guard ... off") are
-those of days_steps.py.
+The steps "checker ... finds nothing" and "with guard ... off" are those of days_steps.py.
 """
 
 import unittest.mock as mock
@@ -32,7 +31,7 @@
 
 
 def run_scenario(names, seed, checker):
-    """Play one day of open traffic whose clocks drift, with applications where the checker needs them."""
+    """Run a scenario of open traffic with drifting clocks, and with applications if the checker needs them."""
     return open_days.Scenario(seed, names, length=ms(12000), with_applications=checker in NEEDS_APPS, drift=0.02).run()
 
 
@@ -116,7 +115,7 @@
 
 def no_elections(own_election, original=election.Election.plan):
     """Stand for no election, so that a lost leader is not replaced."""
-    # Not at first, because the day has to begin.
+    # Elections work at first, because the scenario has to start.
     if own_election.voter.now < ms(9000):
         original(own_election)
 
@@ -201,8 +200,8 @@
     context.make, context.guards = run_scenario, GUARDS
 
 
-@behave.given('an open day of {names} under seed {seed:d}, {shape}')
-def open_day_under_seed(context, names, seed, shape):
+@behave.given('an open scenario of {names} under seed {seed:d}, {shape}')
+def open_scenario_under_seed(context, names, seed, shape):
     context.simulated_scenario = open_days.Scenario(seed, names.split(','), shape, ms(20000)).run()
 
 
--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -1,4 +1,4 @@
-"""The simulator itself: its registry of troubles, what a cut or a reset cuts, and where its checkers draw the line."""
+"""Steps of simulator.feature: the fault registry, the effects of cuts and resets, and the limits of the checkers."""
 
 import behave
 
@@ -18,7 +18,7 @@
 RULE = {'name': 'r-new', 'host': 'new.example', 'prefix': '/new/', 'pool': 'search', 'once': False}
 
 
-@behave.then("the simulator's registry of troubles has {faults}")
+@behave.then("the simulator's fault registry has {faults}")
 def registry_has_faults(context, faults):
     missing = [name for name in faults.split() if name not in open_days.FAULTS]
     assert not missing, missing
@@ -27,8 +27,8 @@
 # -- a world with its deployment -----------------------------------------------------------
 
 
-@behave.given('a simulated day of {traffic}')
-def simulate_day(context, traffic):
+@behave.given('a simulated scenario with {traffic}')
+def create_scenario(context, traffic):
     kind = {'library calls': days, 'open traffic': open_days}[traffic]
     context.simulated_scenario = kind.Scenario(1, drift=0.0)
     context.world, context.deployment = context.simulated_scenario.world, context.simulated_scenario.deployment
@@ -37,7 +37,7 @@
 
 
 def call(context, source, end, **headers):
-    """The outcome of one call from a process to an endpoint."""
+    """Make one call from a process to an endpoint; returns its outcome."""
     got = []
     deferred = context.world.fetch(source, end.address, 'GET', context.path, headers, b'', WAIT)
     deferred.addCallback(got.append)
@@ -51,24 +51,24 @@
     context.world.isolate(context.proxy.name)
 
 
-@behave.then('its calls to each endpoint end without an answer')
-def calls_end_without_answer(context):
+@behave.then('its calls to each endpoint end without a response')
+def calls_end_without_response(context):
     answered = [e.name for e in context.deployment.endpoints if not call(context, context.proxy.name, e).fault]
     assert not answered, answered
 
 
-@behave.then('once healed they are answered')
-def calls_answered_once_healed(context):
+@behave.then('after the partition is healed they get responses')
+def calls_succeed_after_healing(context):
     context.world.heal()
     lost = [e.name for e in context.deployment.endpoints if call(context, context.proxy.name, e).fault]
     assert not lost, lost
 
 
-# -- made-up notes ---------------------------------------------------------------------
+# -- constructed records ---------------------------------------------------------------
 
 
 def acknowledged(notes, version, at):
-    """Note that a version of the rule was acknowledged."""
+    """Record that a version of the rule was acknowledged."""
     row = dict(RULE, version=version)
     order = open_notes.Order('change', size=1, sent_at=at - ms(50))
     change = open_notes.Change('rules/r-new', version, row, order.sent_at, order, answered_at=at, status=200)
@@ -76,7 +76,7 @@
 
 
 def turned_away(notes, number, at):
-    """Note a request that got 404."""
+    """Record a request that got 404."""
     request = open_notes.Request(
         number=str(number),
         rule='r-new',
@@ -102,12 +102,12 @@
 
 
 def seconds(text):
-    """A duration of so many seconds."""
+    """Convert a text with a number of seconds to a duration."""
     return ms(1000 * float(text))
 
 
-@behave.given('notes of a rule acknowledged at {acked} s, and {requests:d} requests for it at {at} s that got 404')
-def note_rule_and_requests(context, acked, requests, at):
+@behave.given('records of a rule acknowledged at {acked} s, and {requests:d} requests for it at {at} s that got 404')
+def record_rule_and_requests(context, acked, requests, at):
     context.deployment = open_days.Scenario(1).deployment
     acknowledged(context.deployment.notes, 1, seconds(acked))
     for number in range(requests):
@@ -115,10 +115,10 @@
 
 
 @behave.given(
-    'notes of a rule in force since {acked} s, changed at {changed} s,'
+    'records of a rule in force since {acked} s, changed at {changed} s,'
     ' with {requests:d} requests for it at {at} s that got 404'
 )
-def note_changed_rule_and_requests(context, acked, changed, requests, at):
+def record_changed_rule_and_requests(context, acked, changed, requests, at):
     context.deployment = open_days.Scenario(1).deployment
     acknowledged(context.deployment.notes, 1, seconds(acked))
     acknowledged(context.deployment.notes, 2, seconds(changed))
@@ -136,7 +136,7 @@
 
 
 def an_endpoint(context):
-    """Some endpoint of the day."""
+    """Return one endpoint of the deployment, always the same."""
     return context.deployment.endpoints[0]
 
 
@@ -148,8 +148,8 @@
     context.acked_at = notes.states[-1].acknowledged_at
 
 
-@behave.then('it is up {up} s after the acknowledgement, and gone at {gone} s')
-def endpoint_up_then_gone(context, up, gone):
+@behave.then('it is up {up} s after the acknowledgement, and down at {gone} s')
+def endpoint_up_then_down(context, up, gone):
     end, world = an_endpoint(context), context.world
     world.run(context.acked_at + seconds(up) - world.now)
     assert end.up
@@ -158,7 +158,7 @@
 
 
 def ask(context, rid):
-    """One request as a proxy sends it to an endpoint: its outcome, and how often it ran."""
+    """Send one request as a proxy does to an endpoint; returns its outcome and how often it ran."""
     end, got = an_endpoint(context), []
     headers = {'zt-id': rid, 'zt-inc': end.incarnation_id, 'zt-left-ms': '900'}
     fetch = effects.HttpFetch(1, end.address, end.incarnation_id, 'GET', '/x', headers, b'', WAIT, plain=True)
@@ -167,14 +167,14 @@
     return got[0].fault or str(got[0].status), sum(run.id == rid for run in context.deployment.notes.runs)
 
 
-@behave.when('an endpoint drops connections that rested for {rest:d} ms')
-def drop_rested_connections(context, rest):
+@behave.when('an endpoint drops connections that were idle for {rest:d} ms')
+def drop_idle_connections(context, rest):
     an_endpoint(context).idle_limit = ms(rest)
     an_endpoint(context).work_ms = 20
 
 
 @behave.then(
-    'a call right after another is answered, one {rest:d} ms later is reset and runs nothing, and the next is answered'
+    'a call right after another succeeds, one {rest:d} ms later is reset and does not run, and the next succeeds'
 )
 def later_call_is_reset(context, rest):
     assert [ask(context, 'a1'), ask(context, 'a2')] == [('200', 1), ('200', 1)]
@@ -183,8 +183,8 @@
     assert ask(context, 'a4') == ('200', 1)
 
 
-@behave.when('an endpoint answers every request by {how:w}')
-def answer_every_request_by(context, how):
+@behave.when('an endpoint fails every request by {how:w}')
+def fail_every_request_by(context, how):
     an_endpoint(context).failure_mode, an_endpoint(context).failure_share = how, 1.0
 
 
@@ -198,24 +198,26 @@
 # -- resets -------------------------------------------------------------------------------------
 
 
-@behave.when('all connections of a proxy are reset while it has calls under way')
-def reset_connections_under_way(context):
+@behave.when('all connections of a proxy are reset while it has pending calls')
+def reset_connections_with_pending_calls(context):
     context.deployment.start_clients()
     context.proxy = context.world.of('prox')[0]
     assert context.world.run(ms(9000), lambda: len(context.proxy.requests) > 1)
     notes = context.deployment.notes
-    context.under_way = [tr for tr in notes.attempts if tr.answered_at is None and tr.front == context.proxy.name]
-    assert context.under_way
+    context.pending_attempts = [
+        tr for tr in notes.attempts if tr.answered_at is None and tr.front == context.proxy.name
+    ]
+    assert context.pending_attempts
     context.world.reset(context.proxy, 1.0)
     context.reset_at = context.world.now
 
 
-@behave.then('their callers are told that the connection was lost')
-def callers_told_connection_lost(context):
+@behave.then('their callers notice that the connection was lost')
+def callers_notice_lost_connection(context):
     context.world.run(ms(200))
-    faults = {tr.fault for tr in context.under_way}
+    faults = {tr.fault for tr in context.pending_attempts}
     assert 'connection lost' in faults, faults
-    assert all(tr.answered_at is not None for tr in context.under_way), context.under_way
+    assert all(tr.answered_at is not None for tr in context.pending_attempts), context.pending_attempts
 
 
 @behave.then('the proxy serves again within a second')
@@ -230,22 +232,22 @@
     assert min(tr.answered_at for tr in served) < context.reset_at + ms(1000), served[0].answered_at
 
 
-# -- one fault after another ---------------------------------------------------------------------
+# -- sequences of faults -------------------------------------------------------------------------
 
 
-@behave.given('an open day of "{group}" whose faults are noted as they begin')
-def open_day_noting_faults(context, group):
+@behave.given('an open scenario of "{group}" whose faults are recorded as they begin')
+def open_scenario_recording_faults(context, group):
     scenario = open_days.Scenario(1, drift=0.0)
     context.begun = []
 
-    def note(name):
+    def recorder(name):
         def begin(scenario):
             context.begun.append((scenario.world.now, name))
             return ms(500)
 
         return begin
 
-    scenario.faults = {name: note(name) for name in registry.names_of(group)}
+    scenario.faults = {name: recorder(name) for name in registry.names_of(group)}
     scenario.inject(group)
     assert [name for _, name in context.begun] == registry.names_of(group), context.begun
 
@@ -257,8 +259,8 @@
     assert all(ms(100) <= b - a <= ms(3000) for a, b in zip(times[1:], times[2:], strict=False)), times
 
 
-@behave.then('of {count:d} planned days some have faults that begin together and some that follow')
-def planned_days_have_both_orders(context, count):
+@behave.then('of {count:d} planned scenarios some have faults that begin together and some that follow')
+def planned_scenarios_have_both_orders(context, count):
     text = ' '.join(' '.join(search.plan(seed, open_days)) for seed in range(count))
     assert '+' in text and ':' in text
 
