--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -221,13 +221,13 @@
             self.after(min(wait, CONNECT_TIMEOUT), done, timed_out)
             return deferred
 
-        def reply(result: effects.HttpResult) -> None:
+        def respond(result: effects.HttpResult) -> None:
             """Send the response back, unless the link is cut or loses it."""
             if not self.is_cut(name, caller) and not self.rng.random() < self.reply_loss.get(caller, 0.0):
                 self.after(self.delay(name, caller), done, result)
 
         call = effects.HttpRequest(method, path, {header.lower(): value for header, value in headers.items()}, body)
-        self.after(self.delay(caller, name), self.deliver_call, server, server.incarnation, call, reply, deferred)
+        self.after(self.delay(caller, name), self.deliver_call, server, server.incarnation, call, respond, deferred)
         return deferred
 
     def abandon_call(self, deferred: defer.Deferred) -> None:
@@ -239,7 +239,7 @@
         server: typing.Any,
         incarnation: int,
         call: effects.HttpRequest,
-        reply: typing.Callable,
+        respond: typing.Callable,
         deferred: defer.Deferred,
     ) -> None:
         """Deliver an HTTP call, if its server is still the incarnation that it was sent to; otherwise it fails."""
@@ -247,9 +247,9 @@
             # A process that refuses connections, or that exited after doing so, closes those it has not read from.
             is_unread = getattr(server, 'refuses_connections', False)
             fault = 'closed unread' if is_unread else 'connection lost'
-            reply(effects.HttpResult(sent=not is_unread, fault=fault))
+            respond(effects.HttpResult(sent=not is_unread, fault=fault))
             return
-        request_id = server.call(call, reply)
+        request_id = server.call(call, respond)
         if self.callers_hang_up and request_id is not None:
             # The caller closes its connection when it has a result, be it a timeout, and the server notices.
             deferred.addCallback(lambda result: server.hang_up(request_id) or result)
--- a/zinctrail/simulation/scenario.py
+++ b/zinctrail/simulation/scenario.py
@@ -14,7 +14,7 @@
 # The delay between the faults before a colon and those after it: the system is still recovering from the former, or has
 # just recovered.
 FOLLOW_UP_DELAY_MS = (100, 3000)
-# The greatest error of clock rates, as a fraction. One is drawn for each scenario, so that most have exact clocks.
+# The greatest error of clock rates, as a fraction. One of these is drawn for each scenario: most have exact clocks.
 CLOCK_DRIFTS = (0.0, 0.0, 0.02)
 
 
