--- a/zinctrail/simulation/faults/network.py
+++ b/zinctrail/simulation/faults/network.py
@@ -119,6 +119,6 @@
     """Callers, applications and operators lose replies that were given."""
     deployment = scenario.deployment
     for name in [user.name for user in deployment.callers + deployment.applications] + ['op']:
-        scenario.world.reply_loss[name] = 0.2
-    scenario.later(ms(8000), scenario.world.reply_loss.clear)
+        scenario.world.response_loss[name] = 0.2
+    scenario.later(ms(8000), scenario.world.response_loss.clear)
     return ms(8000)
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -298,7 +298,7 @@
 def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Most acknowledgements to operators are lost, and each order is sent again until one arrives."""
     for who in OPERATORS:
-        scenario.world.reply_loss[who] = 0.7
+        scenario.world.response_loss[who] = 0.7
     scenario.deployment.notes.ack_losses.append(open_notes.Span(scenario.world.now, scenario.world.now + ms(8000)))
     scenario.later(ms(8000), forget_losses, scenario)
     for number in range(5):
@@ -313,4 +313,4 @@
 def forget_losses(scenario: 'open_days.Scenario') -> None:
     """Let operators' replies arrive again."""
     for who in OPERATORS:
-        scenario.world.reply_loss.pop(who, None)
+        scenario.world.response_loss.pop(who, None)
--- a/zinctrail/simulation/faults/open_operators.py
+++ b/zinctrail/simulation/faults/open_operators.py
@@ -262,7 +262,7 @@
     deployment = scenario.deployment
     users = [user.name for user in deployment.applications] + [user.name for user in deployment.endpoints]
     for name in [*users, 'op', 'op0', 'op1', 'op2']:
-        scenario.world.reply_loss[name] = 0.25
-    scenario.later(ms(7000), scenario.world.reply_loss.clear)
+        scenario.world.response_loss[name] = 0.25
+    scenario.later(ms(7000), scenario.world.response_loss.clear)
     change_timeout(scenario)
     return ms(8000)
--- a/zinctrail/simulation/faults/operators.py
+++ b/zinctrail/simulation/faults/operators.py
@@ -60,7 +60,7 @@
 @fault
 def apply_lost(scenario: 'days.Scenario') -> datetime.timedelta:
     """An operator asks again with the same id while replies are lost, and another changes things between."""
-    scenario.world.reply_loss['op0'] = 0.7
+    scenario.world.response_loss['op0'] = 0.7
     for number in range(4):
         one = operator_actor.Operator(scenario.deployment, 'op0')
         other = operator_actor.Operator(scenario.deployment, 'op1')
@@ -72,7 +72,7 @@
             other.change,
             lambda config, number=number: label(config, f'10.9.8.{number}:1', by='other'),
         )
-    scenario.later(ms(7000), scenario.world.reply_loss.clear)
+    scenario.later(ms(7000), scenario.world.response_loss.clear)
     return ms(8000)
 
 
--- a/zinctrail/simulation/network.py
+++ b/zinctrail/simulation/network.py
@@ -60,7 +60,7 @@
         self.duplication = 0.0
         self.extra_delay = durations.ZERO
         # The probability that an HTTP response is lost, by the name of its caller.
-        self.reply_loss: dict[str, float] = {}
+        self.response_loss: dict[str, float] = {}
         # The latest arrival that is scheduled on each link; later frames do not overtake it.
         self.last_arrivals: dict[tuple[str, str], datetime.timedelta] = {}
         # The bandwidths of limited links in bytes per second, and the time at which each has sent all its bytes.
@@ -223,7 +223,7 @@
 
         def respond(result: effects.HttpResult) -> None:
             """Send the response back, unless the link is cut or loses it."""
-            if not self.is_cut(name, caller) and not self.rng.random() < self.reply_loss.get(caller, 0.0):
+            if not self.is_cut(name, caller) and not self.rng.random() < self.response_loss.get(caller, 0.0):
                 self.after(self.delay(name, caller), done, result)
 
         call = effects.HttpRequest(method, path, {header.lower(): value for header, value in headers.items()}, body)
--- a/zinctrail/simulation/orders/evacuations.py
+++ b/zinctrail/simulation/orders/evacuations.py
@@ -42,7 +42,7 @@
 
         body = {'cell': zone, 'on': is_evacuated}
         self.deployment.ask(operator, 'POST', '/v1/cell/empty', lambda: body, answered, EVACUATION_LIMIT)
-        self.world.reply_loss[operator] = operator_order.REPLY_LOSS
+        self.world.response_loss[operator] = operator_order.REPLY_LOSS
 
     def check(self, zone: str, is_evacuated: bool) -> None:
         """What was acknowledged last is in force."""
--- a/zinctrail/simulation/orders/run.py
+++ b/zinctrail/simulation/orders/run.py
@@ -57,7 +57,7 @@
         """Play the run and check what came of it; returns itself."""
         self.deployment.start()
         for number in range(OPERATORS):
-            self.world.reply_loss[f'operator{number}'] = operator_order.REPLY_LOSS
+            self.world.response_loss[f'operator{number}'] = operator_order.REPLY_LOSS
             self.work(f'operator{number}')
         self.evacuations.start()
         self.faults.strike()
@@ -72,7 +72,7 @@
     def end(self) -> None:
         """No more faults and no new orders: those under way must get clear answers."""
         self.is_ending = self.evacuations.is_over = self.faults.is_over = True
-        self.world.reply_loss.clear()
+        self.world.response_loss.clear()
         if not self.world.run(LAST_ANSWERS_LIMIT, lambda: not self.under_way and self.world.leader() is not None):
             self.violations.append(f'{self.under_way} orders have no clear answer')
 
