--- a/zinctrail/simulation/first_starts.py
+++ b/zinctrail/simulation/first_starts.py
@@ -82,7 +82,7 @@
         return self
 
     def split(self) -> None:
-        """Partition the processes into halves, a smaller group and the rest, or by chance in each role (`split_roles`)."""
+        """Partition the processes into halves, a smaller group and the rest, or by chance per role (`split_roles`)."""
         names = sorted(self.world.nodes)
         if self.mode == 'split_roles':
             side = {name for name in names if name.startswith('core') and self.rng.random() < 0.5}
