--- a/features/steps/open_days_steps.py
+++ b/features/steps/open_days_steps.py
@@ -200,8 +200,8 @@
     context.make, context.guards = run_scenario, GUARDS
 
 
-@behave.given('an open day of {names} under seed {seed:d}, {shape}')
-def open_day_under_seed(context, names, seed, shape):
+@behave.given('an open scenario of {names} under seed {seed:d}, {shape}')
+def open_scenario_under_seed(context, names, seed, shape):
     context.simulated_scenario = open_days.Scenario(seed, names.split(','), shape, ms(20000)).run()
 
 
--- a/zinctrail/simulation/faults/open_control.py
+++ b/zinctrail/simulation/faults/open_control.py
@@ -300,7 +300,7 @@
 def ack_lost(scenario: 'open_days.Scenario') -> datetime.timedelta:
     """Most acknowledgements to operators are lost, and each command is resent until one arrives."""
     for operator_name in OPERATORS:
-        scenario.world.reply_loss[operator_name] = 0.7
+        scenario.world.response_loss[operator_name] = 0.7
     scenario.deployment.records.ack_losses.append(open_records.Span(scenario.world.now, scenario.world.now + ms(8000)))
     scenario.later(ms(8000), end_response_losses, scenario)
     for number in range(5):
@@ -315,4 +315,4 @@
 def end_response_losses(scenario: 'open_days.Scenario') -> None:
     """End the loss of responses to operators."""
     for operator_name in OPERATORS:
-        scenario.world.reply_loss.pop(operator_name, None)
+        scenario.world.response_loss.pop(operator_name, None)
--- a/zinctrail/simulation/orders/evacuations.py
+++ b/zinctrail/simulation/orders/evacuations.py
@@ -42,7 +42,7 @@
 
         body = {'cell': zone, 'on': is_evacuated}
         self.deployment.ask(operator, 'POST', '/v1/cell/empty', lambda: body, on_response, EVACUATION_LIMIT)
-        self.world.reply_loss[operator] = operator_command.REPLY_LOSS
+        self.world.response_loss[operator] = operator_command.REPLY_LOSS
 
     def check(self, zone: str, is_evacuated: bool) -> None:
         """Check that the last acknowledged state of a zone is in force at the leader."""
--- a/zinctrail/simulation/orders/run.py
+++ b/zinctrail/simulation/orders/run.py
@@ -57,7 +57,7 @@
         """Run the operators and the faults, then check the outcome; return self."""
         self.deployment.start()
         for number in range(OPERATORS):
-            self.world.reply_loss[f'operator{number}'] = operator_command.REPLY_LOSS
+            self.world.response_loss[f'operator{number}'] = operator_command.REPLY_LOSS
             self.send_commands(f'operator{number}')
         self.evacuations.start()
         self.faults.inject_next()
@@ -72,7 +72,7 @@
     def finish(self) -> None:
         """Stop the faults and new commands, and wait until all commands have conclusive responses."""
         self.is_finishing = self.evacuations.is_over = self.faults.is_over = True
-        self.world.reply_loss.clear()
+        self.world.response_loss.clear()
         if not self.world.run(LAST_RESPONSES_LIMIT, lambda: not self.in_progress and self.world.leader() is not None):
             self.violations.append(f'{self.in_progress} commands have no conclusive response')
 
