--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,24 +1,24 @@
 Feature: The adapter keeps to PROTOCOL.md
-  The conformance table of platform/, without the kit: three control nodes and
-  two proxies in virtual time, called as the page shows. Stand-ins that speak
-  the page are in features/support. Real processes: platform_chain.feature.
+  Calls the adapter in platform/ as PROTOCOL.md shows, before a simulated
+  cluster of three control nodes and two proxies in virtual time. The documents
+  and calls are in features/support. Real processes: platform_chain.feature.
 
   Scenario: The first call is taken, and read back as it was sent
     Given a simulated platform
     When the first configuration is sent
-    Then it is answered 200
+    Then the response status is 200
     And the configuration read back is what was sent
     When the first configuration is sent
-    Then it is answered 200
+    Then the response status is 200
     And the configuration read back is what was sent
 
   Scenario Outline: One field of a route or service
     Given a simulated platform with the first configuration
-    When it is changed at <path> to <value>, all else as it was, under a higher version
-    Then it is answered <status>
-    And what stands is <stands>
-    Examples: what the page calls invalid
-      | path                                                | value          | status | stands      |
+    When the first configuration is sent under higher versions with <path> set to <value>
+    Then the response status is <status>
+    And the configuration in force is <result>
+    Examples: values that PROTOCOL.md calls invalid
+      | path                                                | value          | status | result      |
       | upserts.route_list.0.service_name                   | "nobody"       | 400    | as before   |
       | upserts.route_list.2.weighted_split.1.service_name  | "nobody"       | 400    | as before   |
       | upserts.route_list.0.target_ms                      | 61200          | 400    | as before   |
@@ -27,8 +27,8 @@
       | upserts.route_list.0.kind                           | "sometimes"    | 400    | as before   |
       | upserts.route_list.0.kind                           | "Idempotent"   | 400    | as before   |
       | upserts.route_list.0.kind                           | ""             | 400    | as before   |
-    Examples: what can not be read whole
-      | path                                                | value          | status | stands      |
+    Examples: values of a wrong type or range, and missing fields
+      | path                                                | value          | status | result      |
       | upserts.route_list.0.host_name                      | gone           | 400    | as before   |
       | upserts.route_list.0.host_name                      | 7              | 400    | as before   |
       | upserts.route_list.0.kind                           | gone           | 400    | as before   |
@@ -90,8 +90,8 @@
       | removals.route_list                                 | [{"name": 7, "version_number": 1}] | 400 | as before |
       | removals.route_list                                 | [{"name": "r1"}] | 400  | as before   |
       | removals.route_list                                 | ["r1"]         | 400    | as before   |
-    Examples: what is fine
-      | path                                                | value          | status | stands      |
+    Examples: accepted values
+      | path                                                | value          | status | result      |
       | upserts.route_list.0.target_ms                      | 61199          | 200    | as sent     |
       | upserts.route_list.0.kind                           | "non_idempotent" | 200  | as sent     |
       | upserts.route_list.0.service_name                   | "sc"           | 200    | as sent     |
@@ -117,64 +117,64 @@
 
   Scenario Outline: The highest version of a name holds, set or dropped
     Given a simulated platform with the first configuration
-    When these are sent: <sent>
-    Then they are answered in turn: <answers>
-    And of r1 there stands <stands>
+    When these route changes are sent: <sent>
+    Then their response statuses are, in order: <statuses>
+    And the version of r1 in force is <version>
     Examples:
-      | sent                            | answers       | stands    |
+      | sent                            | statuses      | version   |
       | set 9                           | 200           | 9         |
       | set 5                           | 200           | 7         |
       | set 7                           | 409           | 7         |
       | set 9, set 8                    | 200, 200      | 9         |
       | set 9, set 9                    | 200, 200      | 9         |
       | set 9, set 40, set 12           | 200, 200, 200 | 40        |
-      | drop 9                          | 200           | nothing   |
+      | drop 9                          | 200           | none      |
       | drop 7                          | 409           | 7         |
       | drop 6                          | 200           | 7         |
-      | drop 9, set 8                   | 200, 200      | nothing   |
-      | drop 9, set 9                   | 200, 409      | nothing   |
+      | drop 9, set 8                   | 200, 200      | none      |
+      | drop 9, set 9                   | 200, 409      | none      |
       | drop 9, set 10                  | 200, 200      | 10        |
-      | drop 9, drop 12, set 11         | 200, 200, 200 | nothing   |
+      | drop 9, drop 12, set 11         | 200, 200, 200 | none      |
       | set 20, drop 9                  | 200, 200      | 20        |
       | set 20, drop 20                 | 200, 409      | 20        |
       | set 20, drop 9, set 9           | 200, 200, 409 | 20        |
 
   Scenario: A refusal for a version that is another content's names the item, and holds on
     Given a simulated platform with the first configuration
-    When these are sent: drop 7
-    Then its refusal names r1 of route_list at 7, below 7 that stands, and no time to come back
+    When these route changes are sent: drop 7
+    Then the refusal names r1 of route_list at version 7, with version 7 in force, and has no Retry-After
 
   Scenario: A name that never stood may be dropped, and then an older one does not come
     Given a simulated platform with the first configuration
     When r8 is dropped at version 9
-    Then it is answered 200
+    Then the response status is 200
     When r8 is set at version 8
-    Then it is answered 200
+    Then the response status is 200
     And the configuration read back is what was sent first
 
   Scenario: Nothing of an invalid call takes effect, whatever else is in it
     Given a simulated platform with the first configuration
     When a call sets r1 at 9, drops r2 at 9, and sets a route to an unknown service
-    Then it is answered 400
-    And what stands is as before
+    Then the response status is 400
+    And the configuration in force is as before
 
   Scenario: A route may name a service of the same call, and of an earlier one
     Given a simulated platform with the first configuration
     When a call sets service sd and a route to it
-    Then it is answered 200
+    Then the response status is 200
     When a call sets another route to sd alone
-    Then it is answered 200
+    Then the response status is 200
 
   Scenario: A configuration of many routes
     Given a simulated platform with the first configuration
-    When a call sets 600 routes more
-    Then it is answered 200
+    When a call sets 600 more routes
+    Then the response status is 200
     And all of them are read back
 
   Scenario Outline: A call whose body can not be read
     Given a simulated platform with the first configuration
-    When every call with a body is sent <body>
-    Then each is answered 400 at once, and nothing was changed
+    When each call that takes a body is sent with <body>
+    Then each response is 400 at once, and the state is unchanged
     Examples:
       | body                |
       | cut short           |
@@ -189,23 +189,23 @@
 
   Scenario Outline: A field of a wrong type, in every call
     Given a simulated platform with the first configuration
-    When every field of <call> in turn is each kind of wrong
-    Then each is answered with 400, or is fine, and nothing was changed where it was refused
-    And the system answers as before
+    When each field of <call> in turn is given each wrong value
+    Then each call is accepted or refused with a 4xx status, and a refused call changes nothing
+    And valid calls are still accepted
     Examples:
       | call               |
-      | a beat             |
-      | a lock's taking    |
-      | a lock's renewal   |
-      | a lock's giving back |
+      | a heartbeat        |
+      | a lock acquisition |
+      | a lock renewal     |
+      | a lock release     |
       | a number           |
       | a put              |
       | a change           |
 
   Scenario Outline: Calls that there are not
     Given a simulated platform with the first configuration
-    When one asks <method> <path>
-    Then it is answered <status>
+    When a client calls <method> <path>
+    Then the response status is <status>
     Examples:
       | method | path                     | status |
       | GET    | /                        | 404    |
@@ -231,70 +231,70 @@
 
   Scenario: Beats, drain and leaving
     Given a simulated platform with the first configuration
-    When endpoint i-1 beats at number 4
-    Then it is answered 200
+    When endpoint i-1 sends heartbeat 4
+    Then the response status is 200
     And i-1 is listed as ready
-    When endpoint i-1 beats draining at number 6
-    Then it is answered 200
+    When endpoint i-1 sends draining heartbeat 6
+    Then the response status is 200
     And i-1 is listed as draining
-    When endpoint i-1 beats at number 5
-    Then it is answered 200
+    When endpoint i-1 sends heartbeat 5
+    Then the response status is 200
     And i-1 is listed as draining
-    When endpoint i-1 signs off
-    Then it is answered 200
+    When endpoint i-1 deregisters
+    Then the response status is 200
     And i-1 is not listed
-    When endpoint i-1 beats at number 7
+    When endpoint i-1 sends heartbeat 7
     Then i-1 is not listed
-    When endpoint i-1 signs off
-    Then it is answered 200
-    When endpoint i-never signs off
-    Then it is answered 200
+    When endpoint i-1 deregisters
+    Then the response status is 200
+    When endpoint i-never deregisters
+    Then the response status is 200
 
   Scenario: A newcomer on an address takes the place of who was there
     Given a simulated platform with the first configuration
-    When endpoint i-1 beats at number 4
-    And endpoint i-2 of sb beats at the same address
-    Then it is answered 200
+    When endpoint i-1 sends heartbeat 4
+    And endpoint i-2 of sb sends a heartbeat from the same address
+    Then the response status is 200
     And i-1 is not listed
     And i-2 is listed as ready
 
   Scenario: A beat's answer is small, and a cold endpoint is known as cold until it is warm
     Given a simulated platform with the first configuration
-    When endpoint i-1 beats at number 4 with 2500 ms of cold left
-    Then it is answered 200
-    And the answer is no larger than 4096 bytes
-    And i-1 is listed as cold
-    When endpoint i-1 beats at number 5
+    When endpoint i-1 sends heartbeat 4 with 2500 ms of warm-up remaining
+    Then the response status is 200
+    And the response body is no larger than 4096 bytes
+    And i-1 is listed as warming up
+    When endpoint i-1 sends heartbeat 5
     Then i-1 is listed as warm
 
   Scenario: A zone is evacuated, and taken back
     Given a simulated platform with the first configuration
-    When endpoint i-1 beats at number 4
-    And one asks POST /v1/evacuation/z1
-    Then it is answered 200
-    And the proxies would not send to i-1
-    When one asks POST /v1/evacuation/z1
-    Then it is answered 200
-    When one asks DELETE /v1/evacuation/z1
-    Then it is answered 200
-    And i-1 is listed as cold
-    When endpoint i-1 beats at number 5
-    Then the proxies would send to i-1
-    When one asks DELETE /v1/evacuation/z1
-    Then it is answered 200
+    When endpoint i-1 sends heartbeat 4
+    And a client calls POST /v1/evacuation/z1
+    Then the response status is 200
+    And the proxies do not use i-1
+    When a client calls POST /v1/evacuation/z1
+    Then the response status is 200
+    When a client calls DELETE /v1/evacuation/z1
+    Then the response status is 200
+    And i-1 is listed as warming up
+    When endpoint i-1 sends heartbeat 5
+    Then the proxies use i-1
+    When a client calls DELETE /v1/evacuation/z1
+    Then the response status is 200
 
   Scenario: Where clients go
     Given a simulated platform with the first configuration
-    Then a client of z1 is told the front of z1 and one more, for 2 s at most
-    And a client of an unknown zone is told fronts too
-    And readiness is 200 at each proxy, and with the core gone it is 503
+    Then the resolution for a client of z1 names the ingress of z1 and one other, for 2 s at most
+    And the resolution for a client of an unknown zone names ingresses too
+    And readiness is 200 at each proxy, and without control nodes it is 503
 
   Scenario Outline: A lock
     Given a simulated platform with the first configuration
-    When the lock's calls are <calls>
-    Then they are answered <answers>
+    When these lock calls are made: <calls>
+    Then the statuses of the lock calls are <statuses>
     Examples:
-      | calls                                              | answers                |
+      | calls                                              | statuses               |
       | take a                                             | 200                    |
       | take a, take b                                     | 200, 409               |
       | take a, take a                                     | 200, 200               |
@@ -315,17 +315,17 @@
 
   Scenario: Fences rise from holder to holder
     Given a simulated platform with the first configuration
-    When the lock's calls are take a, free a, take b, free b, take a, after 4000 ms, take c
-    Then each fence is above the one before
+    When these lock calls are made: take a, free a, take b, free b, take a, after 4000 ms, take c
+    Then each fence number is higher than the previous one
 
   Scenario: Numbers rise
     Given a simulated platform with the first configuration
-    When 12 numbers are asked for at all nodes
-    Then each value is above the one before
+    When 12 numbers are requested, from each control node in turn
+    Then each value is higher than the previous one
 
   Scenario: Small keys
     Given a simulated platform with the first configuration
-    Then these puts and reads are answered so
+    Then these puts and reads get these responses
       | call             | concerns | status | revision |
       | put g1.a v1      | 0        | 200    | 1        |
       | get g1.a         |          | 200    | 1        |
@@ -344,18 +344,18 @@
 
   Scenario: A watch
     Given a simulated platform with the first configuration
-    When g1.a and g1.b get 4 values in turn
-    Then a watch of g1. after 0 tells revision 4 and no events, at once
-    And a watch of g1. after 1 tells revisions 2,3,4 at once
-    And a watch of g1. after 4 waiting 2000 ms tells none after 2000 ms
-    And a watch of g1. after 4 tells a put within 200 ms of its answer
-    And a watch of g1. after 1 still tells all since after 20 s
-    And a watch of g1. after 1 is answered 410 once its history is gone
+    When 4 values are put to g1.a and g1.b in turn
+    Then a watch of g1. after 0 returns revision 4 and no events, at once
+    And a watch of g1. after 1 returns revisions 2,3,4 at once
+    And a watch of g1. after 4 waiting 2000 ms returns none after 2000 ms
+    And a watch of g1. after 4 returns a put within 200 ms of its response
+    And a watch of g1. after 1 still returns all later changes after 20 s
+    And a watch of g1. after 1 gets 410 once its history is removed
 
   Scenario Outline: A refusal tells when to come back, in seconds and fractions
     Given a simulated platform with the first configuration
-    When but one control node is gone, and it is asked <call>
-    Then it is answered with 503 or 504 and Retry-After is a number where nothing was done
+    When all control nodes but one are down, and the remaining one gets the call <call>
+    Then the response status is 503 or 504, and a 503 has a numeric Retry-After
     Examples:
       | call                        |
       | PATCH /v1/configuration     |
--- a/features/platform_chain.feature
+++ b/features/platform_chain.feature
@@ -1,21 +1,22 @@
 Feature: A whole deployment as the platform runs it, in real processes
-  platform/controller.py and platform/proxy.py with settings written by a stand-in
-  of the platform's template engine, each on a loopback address of its own;
-  endpoints and clients speak PROTOCOL.md (features/support/endpoint.py). Verdicts wait on
-  events. One deployment serves all scenarios of this file, in their order.
+  Runs platform/controller.py and platform/proxy.py with settings rendered by a
+  test double of the platform's template engine, each on its own loopback
+  address; endpoints and clients follow PROTOCOL.md (features/support/endpoint.py).
+  Steps wait for events, not for fixed times. All scenarios of this file share
+  one deployment, in their order.
 
   Scenario: It comes up, takes a first configuration, and tells clients where to go
     Given a deployment of 3 control nodes and 2 proxies
     When the operator sends the first configuration
-    Then the operator is answered 200
-    And it is read back as sent, at each control node
+    Then the operator's response status is 200
+    And the configuration is read back as sent at each control node
     And resolutions of each control node name both proxies
 
   Scenario Outline: A request reaches an endpoint as it was sent, and its answer the client
     Given endpoints of sa
     When a client of the deployment sends <method> <path> with a body <body>
-    Then it gets 200 with the endpoint's own seal and body, and its own id
-    And the endpoint ran it as it was sent
+    Then the client gets 200 with the endpoint's own seal and body, and the id of the request
+    And the endpoint executed the request as it was sent
     Examples:
       | method | path                           | body                 |
       | GET    | /r1/x                          | none                 |
@@ -32,13 +33,13 @@
   Scenario: Headers of one connection stay on it, others go through
     Given endpoints of sa
     When a client of the deployment sends headers of its own and of its connection
-    Then it gets 200 with the endpoint's own seal and body, and its own id
-    And its own headers reached the endpoint, and those of its connection did not
-    And the endpoint was told what is left of the time, and which instance is meant
+    Then the client gets 200 with the endpoint's own seal and body, and the id of the request
+    And the client's own headers reached the endpoint, and those of its connection did not
+    And the endpoint received the remaining deadline and the expected instance
 
   Scenario Outline: What has no route
     When a client of the deployment asks <host> for <path>
-    Then it gets <status>
+    Then the client gets <status>
     Examples:
       | host            | path      | status |
       | hulo.example    | /         | 404    |
@@ -50,10 +51,10 @@
 
   Scenario Outline: An endpoint that answers badly, or not at all
     Given endpoints of sa
-    When the first to get a request of <kind> does <does>
-    Then the client is told <told>, and it ran <runs>
-    And the next request on that route is answered well
-    Examples: what may be repeated goes on to another endpoint
+    When the first endpoint to get a request of kind <kind> behaves as <does>
+    Then the client gets <told>, and the request was executed <runs>
+    And the next request on that route gets a correct response
+    Examples: an idempotent request is retried at another endpoint
       | kind           | does   | told             | runs      |
       | idempotent     | cut    | 200              | twice     |
       | idempotent     | reset  | 200              | twice     |
@@ -68,7 +69,7 @@
       | idempotent     | busy   | 200              | once or twice |
       | idempotent     | deny   | 200              | once or twice |
       | idempotent     | move   | 200              | once or twice |
-    Examples: one that may run once does not, if it may have run
+    Examples: a non-idempotent request that may have been executed is not retried
       | kind           | does   | told             | runs      |
       | non_idempotent | cut    | 502 or no answer | once      |
       | non_idempotent | reset  | 502 or no answer | once      |
@@ -87,14 +88,14 @@
 
   Scenario: An answer too many, late, in the place of the next one
     Given endpoints of sa
-    When both answer a request well, and once more in the place of the next one
-    Then no client is given another answer than its own
+    When both endpoints respond to a request, and send a second response in place of the next one
+    Then no client gets the response to another request
 
   Scenario Outline: The work for a client that <leaves> its connection ends, at <where>
     Given endpoints of sa
     When a client <leaves> its connection while its request is worked on at <where>
-    Then each of them sees its own connection close long before the time of the request is over
-    And the next request on that route is answered well
+    Then each endpoint sees its connection close long before the deadline of the request
+    And the next request on that route gets a correct response
     Examples:
       | leaves | where         |
       | closes | one endpoint  |
@@ -104,32 +105,32 @@
 
   Scenario: Turned away by all, it is refused with a promise and a time to come back
     Given endpoints of sa
-    When all of them turn a request away
-    Then it is refused with 503 and Retry-After, and ran nowhere
+    When all endpoints refuse a request
+    Then the request is refused with 503 and Retry-After, and no endpoint executes it
 
   Scenario: A draining endpoint gets nothing more once its word is in force
     Given endpoints of sc
-    When one of them says that it drains, and the proxies know
-    Then that took less than drain_ms, and requests run at the other alone
-    When it signs off
-    Then no process lists it, also after a late beat of its own
+    When one endpoint reports that it is draining, and the drain is in force at the proxies
+    Then this took less than drain_ms, and only the other endpoint executes requests
+    When the draining endpoint deregisters
+    Then no process lists the endpoint, even after a late heartbeat
 
   Scenario: What has homes stays in them
     Given endpoints of sa
     When routes to sa come with home_regions south, with north, and with both
-    Then through each proxy the first is refused as not run, and the others are served
+    Then each proxy refuses requests to the first route before execution, and serves the others
 
   Scenario: Another service's endpoint on a dead one's address runs nothing of the first
     Given endpoints of sc
-    When one of them ends without a word and an endpoint of sb begins on its address
-    Then requests for sc run at it never
+    When one endpoint crashes, and an endpoint of sb starts on its address
+    Then the new endpoint executes no request for sc
 
   Scenario Outline: Bytes at the front that are no good request
     Given endpoints of sa
-    When a client of the deployment sends raw <bytes>
-    Then the raw answer is <told>
-    And nothing of it ran
-    And a good request is answered well
+    When a client of the deployment sends the raw bytes of <bytes>
+    Then the raw response is <told>
+    And no part of it was executed
+    And a valid request gets a correct response
     Examples:
       | bytes                              | told                |
       | no id                              | 400                 |
@@ -155,13 +156,13 @@
 
   Scenario: Two requests in one go are answered in their order
     Given endpoints of sa
-    When a client of the deployment sends two requests in one go
-    Then both answers come, in that order, each with its own id
+    When a client of the deployment sends two pipelined requests
+    Then both responses arrive in that order, each with its own id
 
   Scenario Outline: Bytes at a control node that are no good call
-    When raw <bytes> are sent to a control node
-    Then the raw answer is <told>
-    And the operator's next call is answered
+    When the raw bytes of <bytes> are sent to a control node
+    Then the raw response is <told>
+    And the operator's next call succeeds
     Examples:
       | bytes                       | told                 |
       | cut-short JSON              | 400                  |
@@ -174,57 +175,57 @@
 
   Scenario: SIGTERM in the middle loses nothing
     Given endpoints of sa
-    When a proxy is told to end while requests are at their endpoints
-    Then it is not ready any more, and resolutions stop naming it
-    And once the endpoints answer, every client has its answer
-    And the proxy has ended with code 0 within its grace
-    And requests through the other proxy are answered well
-    When the ended proxy starts again
-    Then resolutions name it again
+    When a proxy gets SIGTERM while endpoints hold requests
+    Then the proxy is no longer ready, and resolutions no longer name it
+    And once the endpoints respond, every client gets its response
+    And the proxy has exited with code 0 within its grace period
+    And requests through the other proxy get correct responses
+    When the stopped proxy starts again
+    Then resolutions name the proxy again
 
   Scenario Outline: What its client has left keeps no proxy from its end, and no endpoint at work: <end>
     Given endpoints of sa
     When a client closes its connection at a proxy that was <end>, while its request is worked on at one endpoint
-    Then each of them sees its own connection close long before the time of the request is over
-    And the proxy has ended within its grace
-    When the ended proxy starts again
-    Then resolutions name it again
+    Then each endpoint sees its connection close long before the deadline of the request
+    And the proxy has exited within its grace period
+    When the stopped proxy starts again
+    Then resolutions name the proxy again
     Examples:
       | end         |
       | told to end |
       | killed      |
 
   Scenario: SIGTERM at the leader: changes go on, and what was acknowledged stays
-    When the leader is told to end while the operator sends changes
+    When the leader gets SIGTERM while the operator sends changes
     Then each acknowledged change is read back
-    And the leader has ended with code 0 within its grace
-    When the ended control node starts again
-    Then the operator's next call is answered
+    And the leader has exited with code 0 within its grace period
+    When the stopped control node starts again
+    Then the operator's next call succeeds
 
   Scenario: An operator without the platform has the items and the emptying too
     Given endpoints of sa
     When an operator applies items from a file by zinctrailctl
-    Then they are in its table of versions, and in what it gets
-    And the platform's operator reads them in its own words
-    When the file is applied again, and an older one
-    Then nothing was taken, and that is told
-    When a file with another content under its version is applied
-    Then it ends with 3 and names the item, and nothing was changed
-    When a file with three faults is applied
-    Then it ends with 1 and tells each with its path, and nothing was changed
+    Then the items are in the table of versions and in the items that zinctrailctl gets
+    And the platform's operator reads them under the platform's names
+    When the file is applied again, and then an older version of it
+    Then zinctrailctl reports that it took no item
+    When a file with different content under the same version is applied
+    Then zinctrailctl exits with 3 and names the item, and the items are unchanged
+    When a file with three errors is applied
+    Then zinctrailctl exits with 1 and reports each error with its path, and the items are unchanged
     When the item is dropped by zinctrailctl
-    Then it is gone from both
-    When by zinctrailctl one empties the cell north/z1
-    Then requests there are refused as not run, and its status says so
-    When by zinctrailctl one refills the cell north/z1
-    Then a good request is answered well
-    And wrong words for items end with 2
+    Then the item is removed from both
+    When an operator by zinctrailctl empties the zone north/z1
+    Then requests in that zone are refused before execution, and zinctrailctl status shows the evacuation
+    When an operator by zinctrailctl refills the zone north/z1
+    Then a valid request gets a correct response
+    And wrong arguments of the items command exit with 2
 
   Scenario: All processes are killed at once, and what was acknowledged stays
     Given endpoints of sa
     When every process is killed and starts again
     Then each acknowledged change is read back
-    And a good request is answered well
+    And a valid request gets a correct response
 
   Scenario: Over all of this
-    Then no request ran twice that may run once, and nothing ran that nobody sent
+    Then no non-idempotent request was executed twice, and no request was executed that no client sent
--- a/features/platform_settings.feature
+++ b/features/platform_settings.feature
@@ -1,9 +1,9 @@
 Feature: The platform's settings are checked, all faults told with their places
-  What a program is told at its start (DEPLOY.md), as flags of ours. Changes
-  while it runs: settings.feature.
+  The settings file that a program gets at its start (DEPLOY.md) becomes flags
+  of the product. Changes while it runs: settings.feature.
 
   Scenario: Settings as the page shows them
-    Then an edge machine's become these flags
+    Then the settings of an edge machine become these flags
       | flag               | value                        |
       | addr               | 10.1.0.15:7620               |
       | http               | 10.1.0.15:7621               |
@@ -22,7 +22,7 @@
       | repeat_allowance   | 52                           |
       | first_start        | true                         |
       | least_voters       | 3                            |
-    And a core machine's become, beside these, two doors, its data folder, and the directory's duty
+    And the settings of a core machine also give two API addresses, the data folder and the directory flag
 
   Scenario Outline: What a control node is told of the first start and of the losses to be borne reaches it
     Guards against review/1: nothing read these fields.
@@ -38,69 +38,69 @@
   Scenario Outline: One field
     When the setting <place> is <value>
     Then the settings are <verdict>
-    Examples: told, with its place
+    Examples: refused, with the place of the error
       | place                            | value              | verdict               |
-      | ip_address                       | gone               | told at ip_address    |
-      | ip_address                       | "here"             | told at ip_address    |
-      | ip_address                       | 7                  | told at ip_address    |
-      | zone                             | gone               | told at zone          |
-      | zone                             | ""                 | told at zone          |
-      | region                           | ["north"]          | told at region        |
-      | zones                            | gone               | told at zones         |
-      | zones                            | ["z1"]             | told at zones         |
-      | zones                            | {"z1": 7}          | told at zones         |
-      | internal_port_range              | gone               | told at internal_port_range |
-      | internal_port_range              | [7620]             | told at internal_port_range |
-      | internal_port_range              | [7620, "7635"]     | told at internal_port_range |
-      | internal_port_range              | [7635, 7620]       | told at internal_port_range |
-      | internal_port_range              | [true, 7]          | told at internal_port_range |
-      | internal_port_range              | [7620, 99999]      | told at internal_port_range |
-      | internal_port_range              | 7620               | told at internal_port_range |
-      | seed_nodes                       | "10.1.0.17:8649"   | told at seed_nodes    |
-      | seed_nodes                       | ["10.1.0.17"]      | told at seed_nodes    |
-      | seed_nodes                       | [null]             | told at seed_nodes    |
-      | listen_addresses                 | gone               | told at listen_addresses |
-      | listen_addresses                 | []                 | told at listen_addresses |
-      | listen_addresses.front_http      | 8641               | told at listen_addresses.front_http |
-      | listen_addresses.readiness       | "x:y"              | told at listen_addresses.readiness |
-      | data_directory                   | 7                  | told at data_directory |
-      | bounds                           | 7                  | told at bounds        |
-      | bounds.contact_ms                | "5000"             | told at bounds.contact_ms |
-      | bounds.contact_ms                | -1                 | told at bounds.contact_ms |
-      | bounds.ttl_max_s                 | true               | told at bounds.ttl_max_s |
-      | bounds.retry_budget_ratio        | {}                 | told at bounds.retry_budget_ratio |
-      | beat_interval_ms                 | "x"                | told at beat_interval_ms |
-      | first_start                      | gone               | told at first_start   |
-      | first_start                      | "false"            | told at first_start   |
-      | first_start                      | 0                  | told at first_start   |
-      | fault_tolerance.machine_losses   | "1"                | told at fault_tolerance.machine_losses |
-    Examples: fine
+      | ip_address                       | gone               | refused at ip_address    |
+      | ip_address                       | "here"             | refused at ip_address    |
+      | ip_address                       | 7                  | refused at ip_address    |
+      | zone                             | gone               | refused at zone          |
+      | zone                             | ""                 | refused at zone          |
+      | region                           | ["north"]          | refused at region        |
+      | zones                            | gone               | refused at zones         |
+      | zones                            | ["z1"]             | refused at zones         |
+      | zones                            | {"z1": 7}          | refused at zones         |
+      | internal_port_range              | gone               | refused at internal_port_range |
+      | internal_port_range              | [7620]             | refused at internal_port_range |
+      | internal_port_range              | [7620, "7635"]     | refused at internal_port_range |
+      | internal_port_range              | [7635, 7620]       | refused at internal_port_range |
+      | internal_port_range              | [true, 7]          | refused at internal_port_range |
+      | internal_port_range              | [7620, 99999]      | refused at internal_port_range |
+      | internal_port_range              | 7620               | refused at internal_port_range |
+      | seed_nodes                       | "10.1.0.17:8649"   | refused at seed_nodes    |
+      | seed_nodes                       | ["10.1.0.17"]      | refused at seed_nodes    |
+      | seed_nodes                       | [null]             | refused at seed_nodes    |
+      | listen_addresses                 | gone               | refused at listen_addresses |
+      | listen_addresses                 | []                 | refused at listen_addresses |
+      | listen_addresses.front_http      | 8641               | refused at listen_addresses.front_http |
+      | listen_addresses.readiness       | "x:y"              | refused at listen_addresses.readiness |
+      | data_directory                   | 7                  | refused at data_directory |
+      | bounds                           | 7                  | refused at bounds        |
+      | bounds.contact_ms                | "5000"             | refused at bounds.contact_ms |
+      | bounds.contact_ms                | -1                 | refused at bounds.contact_ms |
+      | bounds.ttl_max_s                 | true               | refused at bounds.ttl_max_s |
+      | bounds.retry_budget_ratio        | {}                 | refused at bounds.retry_budget_ratio |
+      | beat_interval_ms                 | "x"                | refused at beat_interval_ms |
+      | first_start                      | gone               | refused at first_start   |
+      | first_start                      | "false"            | refused at first_start   |
+      | first_start                      | 0                  | refused at first_start   |
+      | fault_tolerance.machine_losses   | "1"                | refused at fault_tolerance.machine_losses |
+    Examples: accepted
       | place                            | value              | verdict               |
-      | seed_nodes                       | []                 | fine                  |
-      | seed_nodes                       | gone               | fine                  |
-      | data_directory                   | null               | fine                  |
-      | data_directory                   | gone               | fine                  |
-      | bounds                           | gone               | fine                  |
-      | bounds.contact_ms                | gone               | fine                  |
-      | bounds.contact_ms                | 4000.5             | fine                  |
-      | bounds.contact_ms                | 1500               | fine                  |
-      | bounds.contact_ms                | 60000              | fine                  |
-      | bounds.ttl_max_s                 | 0.5                | fine                  |
-      | bounds.retry_budget_ratio        | 0                  | fine                  |
-      | bounds.retry_budget_ratio        | 1                  | fine                  |
-      | bounds.retry_budget_slack        | 0                  | fine                  |
-      | bounds.a_later_bound             | "x"                | fine                  |
-      | a_later_field                    | {"x": [7]}         | fine                  |
-      | listen_addresses.a_later_one     | 7                  | fine                  |
-      | contracts                        | 7                  | fine                  |
-      | first_start                      | false              | fine                  |
-      | fault_tolerance                  | gone               | fine                  |
-      | fault_tolerance.machine_losses   | 2                  | fine                  |
-      | limits                           | null               | fine                  |
-      | serves                           | []                 | fine                  |
+      | seed_nodes                       | []                 | accepted              |
+      | seed_nodes                       | gone               | accepted              |
+      | data_directory                   | null               | accepted              |
+      | data_directory                   | gone               | accepted              |
+      | bounds                           | gone               | accepted              |
+      | bounds.contact_ms                | gone               | accepted              |
+      | bounds.contact_ms                | 4000.5             | accepted              |
+      | bounds.contact_ms                | 1500               | accepted              |
+      | bounds.contact_ms                | 60000              | accepted              |
+      | bounds.ttl_max_s                 | 0.5                | accepted              |
+      | bounds.retry_budget_ratio        | 0                  | accepted              |
+      | bounds.retry_budget_ratio        | 1                  | accepted              |
+      | bounds.retry_budget_slack        | 0                  | accepted              |
+      | bounds.a_later_bound             | "x"                | accepted              |
+      | a_later_field                    | {"x": [7]}         | accepted              |
+      | listen_addresses.a_later_one     | 7                  | accepted              |
+      | contracts                        | 7                  | accepted              |
+      | first_start                      | false              | accepted              |
+      | fault_tolerance                  | gone               | accepted              |
+      | fault_tolerance.machine_losses   | 2                  | accepted              |
+      | limits                           | null               | accepted              |
+      | serves                           | []                 | accepted              |
 
   Scenario Outline: Both programs end with 2, and tell every fault and its place, where <what>
-    Then zinctrail-controller and zinctrail-proxy started with <what> end with 2 and say <lines>
+    Then zinctrail-controller and zinctrail-proxy started with <what> exit with 2 and print <lines>
     Examples:
       | what                    | lines                                              |
       | no file named           | ZINCTRAIL_SETTINGS: is not set                     |
--- a/features/steps/platform_chain_command_steps.py
+++ b/features/steps/platform_chain_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform_chain.feature: operators of a real deployment use zinctrailctl."""
+"""Steps of platform_chain.feature: operators use zinctrailctl on a real deployment."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 import features.support.deployment_client as deployment_client
 
 RULE = 'by-hand'
-NOTHING_TAKEN = (0, 'took 0: all of it is there, or overtaken\n')
+NO_ITEM_TAKEN = (0, 'took 0: all of it is there, or overtaken\n')
 WRONG_ARGUMENTS = (
     ('items',),
     ('items', 'nonsense'),
@@ -23,13 +23,13 @@
 
 
 def run_command(*arguments: str, stdin: str | None = None) -> command_line.CommandResult:
-    """Run zinctrailctl, given all control nodes."""
+    """Run zinctrailctl with the addresses of all control nodes."""
     addresses = [process.internal for process in deployment_client.running().cores]
     return command_line.run(addresses, *arguments, stdin=stdin)
 
 
 def rule_items(version: int, **more) -> dict[str, typing.Any]:
-    """Items that set one rule."""
+    """Return an items document that sets one rule."""
     rule = {
         'name': RULE,
         'version': version,
@@ -44,7 +44,7 @@
 
 
 def items_file() -> str:
-    """The name of the file that an operator applies."""
+    """Return the name of the items file that the operator applies."""
     return os.path.join(deployment_client.running().folder, 'items.json')
 
 
@@ -55,7 +55,7 @@
     assert run_command('items', 'apply', items_file())[:2] == (0, 'took 1\n')
 
 
-@behave.then('they are in its table of versions, and in what it gets')
+@behave.then('the items are in the table of versions and in the items that zinctrailctl gets')
 def items_are_shown(context):
     versions = run_command('items', 'versions')
     assert versions.code == 0, versions
@@ -64,7 +64,7 @@
     assert items.code == 0 and rule_items(7)['set']['rules'][0] in json.loads(items.output)['rules'], items
 
 
-@behave.then("the platform's operator reads them in its own words")
+@behave.then("the platform's operator reads them under the platform's names")
 def items_are_read_by_platform(context):
     deployment = deployment_client.running()
     rows = deployment.call_control('GET', '/v1/configuration').document['route_list']
@@ -78,11 +78,13 @@
         'service_name': 'sa',
     }
     assert wanted in rows, rows
-    front = deployment.edges[0].front
-    deployment.wait_until(lambda: deployment_client.send_request(front, RULE).status == 200, 'the route to be in force')
+    ingress = deployment.edges[0].ingress
+    deployment.wait_until(
+        lambda: deployment_client.send_request(ingress, RULE).status == 200, 'the route to be in force'
+    )
 
 
-@behave.when('the file is applied again, and an older one')
+@behave.when('the file is applied again, and then an older version of it')
 def old_items_applied(context):
     context.results = [
         run_command('items', 'apply', items_file()),
@@ -90,36 +92,36 @@
     ]
 
 
-@behave.then('nothing was taken, and that is told')
-def nothing_was_taken(context):
-    assert [result[:2] for result in context.results] == [NOTHING_TAKEN] * 2, context.results
+@behave.then('zinctrailctl reports that it took no item')
+def no_item_was_taken(context):
+    assert [result[:2] for result in context.results] == [NO_ITEM_TAKEN] * 2, context.results
 
 
-def apply_bad_items(context, items: dict[str, typing.Any]):
-    """Apply items that are refused; what stood before is kept."""
+def apply_invalid_items(context, items: dict[str, typing.Any]):
+    """Apply items that are refused; store the items of before in the context."""
     context.items_before = run_command('items', 'get')
     context.result = run_command('items', 'apply', '-', stdin=json.dumps(items))
 
 
-@behave.when('a file with another content under its version is applied')
+@behave.when('a file with different content under the same version is applied')
 def conflicting_items_applied(context):
-    apply_bad_items(context, rule_items(7, timeout_ms=8999))
+    apply_invalid_items(context, rule_items(7, timeout_ms=8999))
 
 
-@behave.then('it ends with 3 and names the item, and nothing was changed')
-def conflict_is_told(context):
+@behave.then('zinctrailctl exits with 3 and names the item, and the items are unchanged')
+def conflict_is_reported(context):
     result = context.result
     assert result.code == 3 and 'rules/by-hand: version 7 is held by another content' in result.errors, result
     assert run_command('items', 'get') == context.items_before
 
 
-@behave.when('a file with three faults is applied')
-def faulty_items_applied(context):
-    apply_bad_items(context, rule_items(9, pool='nobody', timeout_ms=0, home='x'))
+@behave.when('a file with three errors is applied')
+def invalid_items_applied(context):
+    apply_invalid_items(context, rule_items(9, pool='nobody', timeout_ms=0, home='x'))
 
 
-@behave.then('it ends with 1 and tells each with its path, and nothing was changed')
-def faults_are_told(context):
+@behave.then('zinctrailctl exits with 1 and reports each error with its path, and the items are unchanged')
+def errors_are_reported(context):
     result = context.result
     paths = [f'$.set.rules[0].{field}: ' for field in ('pool', 'timeout_ms', 'home')]
     assert result.code == 1 and all(path in result.errors for path in paths), result
@@ -131,32 +133,32 @@
     assert run_command('items', 'drop', 'rules', RULE, '8')[:2] == (0, 'took 1\n')
 
 
-@behave.then('it is gone from both')
-def item_is_gone(context):
+@behave.then('the item is removed from both')
+def item_is_removed(context):
     assert RULE not in run_command('items', 'versions').output
     response = deployment_client.running().call_control('GET', '/v1/configuration')
     deployment_client.assert_configuration_in_force(response)
 
 
-@behave.when('by zinctrailctl one empties the cell {zone}')
-def zone_emptied(context, zone: str):
+@behave.when('an operator by zinctrailctl empties the zone {zone}')
+def zone_evacuated(context, zone: str):
     result = run_command('empty', zone)
     assert result[:2] == (0, f'{zone} emptied\n'), result
 
 
-@behave.when('by zinctrailctl one refills the cell {zone}')
+@behave.when('an operator by zinctrailctl refills the zone {zone}')
 def zone_refilled(context, zone: str):
     result = run_command('refill', zone)
     assert result[:2] == (0, f'{zone} refilled\n'), result
 
 
-@behave.then('requests there are refused as not run, and its status says so')
-def emptied_zone_refuses(context):
+@behave.then('requests in that zone are refused before execution, and zinctrailctl status shows the evacuation')
+def evacuated_zone_refuses(context):
     deployment = deployment_client.running()
-    front = deployment.edges[0].front
+    ingress = deployment.edges[0].ingress
 
     def refusal():
-        response = deployment_client.send_request(front)
+        response = deployment_client.send_request(ingress)
         return response if response.status == 503 else None
 
     response = deployment.wait_until(refusal, 'a refusal')
@@ -165,7 +167,7 @@
     assert ['north/z1', 'YES'] in [line.split() for line in run_command('status').output.splitlines()]
 
 
-@behave.then('wrong words for items end with 2')
+@behave.then('wrong arguments of the items command exit with 2')
 def wrong_arguments_are_refused(context):
     for arguments in WRONG_ARGUMENTS:
         assert run_command(*arguments).code == 2, arguments
--- a/features/steps/platform_chain_steps.py
+++ b/features/steps/platform_chain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform_chain.feature: a deployment of real processes comes up, and carries requests as they were sent."""
+"""Steps of platform_chain.feature: a deployment of real processes starts, and forwards requests unchanged."""
 
 import os
 
@@ -11,7 +11,7 @@
 import features.support.platform_documents as platform_documents
 
 CHUNK_BYTES = 70000
-LEFT_MS = 10000
+REMAINING_MS = 10000
 CONNECTION_HEADERS = {'keep-alive', 'te', 'proxy-connection', 'x-hop'}
 
 
@@ -34,12 +34,12 @@
     deployment.items = document['upserts']
 
 
-@behave.then('the operator is answered {status:d}')
-def operator_is_answered(context, status: int):
+@behave.then("the operator's response status is {status:d}")
+def operator_response_status_is(context, status: int):
     assert context.response.status == status, context.response
 
 
-@behave.then('it is read back as sent, at each control node')
+@behave.then('the configuration is read back as sent at each control node')
 def configuration_is_read_back(context):
     for process in deployment_client.running().cores:
         response = http_calls.call(process.control, 'GET', '/v1/configuration')
@@ -55,45 +55,45 @@
 def endpoints_of_service(context, service: str):
     deployment = deployment_client.running()
     endpoints = [
-        stand_in
-        for stand_in in deployment.endpoints
-        if stand_in.service_name == service and not stand_in.has_ended.is_set()
+        test_endpoint
+        for test_endpoint in deployment.endpoints
+        if test_endpoint.service_name == service and not test_endpoint.has_ended.is_set()
     ]
     endpoints += [deployment.start_endpoint(service) for _ in range(2 - len(endpoints))]
     for process in deployment.edges:
         deployment.wait_until(
-            lambda process=process: all(deployment.knows(process, stand_in) for stand_in in endpoints),
+            lambda process=process: all(deployment.knows(process, test_endpoint) for test_endpoint in endpoints),
             f'{process.name} to know both endpoints of {service}',
         )
     context.endpoints = endpoints
-    context.front = deployment.edges[0].front
+    context.ingress = deployment.edges[0].ingress
 
 
 # -- requests as they were sent --------------------------------------------------
 
 
 def parse_body(text: str) -> tuple[bytes, bool]:
-    """(body, whether it is sent in chunks) of a text `none` or `of SIZE bytes [in chunks]`."""
+    """Return (body, True if it is sent in chunks) for a text `none` or `of SIZE bytes [in chunks]`."""
     if text == 'none':
         return b'', False
     return os.urandom(int(text.split()[1])), text.endswith('chunks')
 
 
-def send_in_chunks(front: str, method: str, path: str, attempt_id: str, body: bytes) -> http_calls.Response:
-    """The response to a request whose body is sent in chunks."""
-    pieces = [body[start : start + CHUNK_BYTES] for start in range(0, len(body), CHUNK_BYTES)]
-    chunks = b''.join(b'%x\r\n%s\r\n' % (len(piece), piece) for piece in pieces)
+def send_in_chunks(ingress: str, method: str, path: str, attempt_id: str, body: bytes) -> http_calls.Response:
+    """Send a request with a chunked body, and return the response."""
+    parts = [body[start : start + CHUNK_BYTES] for start in range(0, len(body), CHUNK_BYTES)]
+    chunks = b''.join(b'%x\r\n%s\r\n' % (len(part), part) for part in parts)
     lines = [
         f'{method} {path} HTTP/1.1',
         f'Host: {deployment_client.HOST}',
         'Transfer-Encoding: chunked',
         'Connection: close',
         f'Zinctrail-Attempt-Id: {attempt_id}',
-        f'Zinctrail-Deadline-Remaining: {LEFT_MS}',
+        f'Zinctrail-Deadline-Remaining: {REMAINING_MS}',
     ]
     data = '\r\n'.join(lines).encode() + b'\r\n\r\n' + chunks + b'0\r\n\r\n'
     received = http_calls.exchange_bytes(
-        front, data, timeout_s=deployment_client.RESPONSE_TIMEOUT_S, end_of_input=False
+        ingress, data, timeout_s=deployment_client.RESPONSE_TIMEOUT_S, end_of_input=False
     )
     return http_calls.parse_response(received)[0]
 
@@ -105,35 +105,35 @@
     def send(attempt_id):
         context.sent = {'id': attempt_id, 'method': method, 'path': path, 'body': data}
         if is_chunked:
-            return send_in_chunks(context.front, method, path, attempt_id, data)
+            return send_in_chunks(context.ingress, method, path, attempt_id, data)
         return http_calls.send_attempt(
-            context.front,
+            context.ingress,
             deployment_client.HOST,
             path,
             attempt_id,
             method,
             data,
-            left_ms=LEFT_MS,
+            remaining_ms=REMAINING_MS,
             timeout_s=deployment_client.RESPONSE_TIMEOUT_S,
         )
 
     context.response = deployment_client.retry_without_lease(send)
 
 
-@behave.then("it gets {status:d} with the endpoint's own seal and body, and its own id")
+@behave.then("the client gets {status:d} with the endpoint's own seal and body, and the id of the request")
 def client_gets_own_response(context, status: int):
     response, sent = context.response, context.sent
     response.attempt_id = sent['id']
     assert response.status == status, response
-    stand_in, request = context.execution = deployment_client.execution_of(response)
-    body = endpoint.response_body(stand_in, request)
+    test_endpoint, request = context.execution = deployment_client.execution_of(response)
+    body = endpoint.response_body(test_endpoint, request)
     assert response.body == body, response
     assert response.headers['zinctrail-server-seal'] == endpoint.seal_of(request['id'], body), response
     assert response.headers['zinctrail-attempt-id'] == sent['id'], response
     assert 'content-encoding' not in response.headers
 
 
-@behave.then('the endpoint ran it as it was sent')
+@behave.then('the endpoint executed the request as it was sent')
 def endpoint_got_it_as_sent(context):
     _, request = context.execution
     received = {name: request[name] for name in ('id', 'method', 'path', 'body')}
@@ -156,11 +156,11 @@
     def send(attempt_id):
         context.sent = {'id': attempt_id}
         return http_calls.send_attempt(
-            context.front,
+            context.ingress,
             deployment_client.HOST,
             '/r1/h',
             attempt_id,
-            left_ms=9100,
+            remaining_ms=9100,
             timeout_s=deployment_client.RESPONSE_TIMEOUT_S,
             headers=headers,
         )
@@ -168,7 +168,7 @@
     context.response = deployment_client.retry_without_lease(send)
 
 
-@behave.then('its own headers reached the endpoint, and those of its connection did not')
+@behave.then("the client's own headers reached the endpoint, and those of its connection did not")
 def own_headers_arrived(context):
     _, request = context.execution
     headers = request['headers']
@@ -177,23 +177,23 @@
     assert not CONNECTION_HEADERS & set(headers), headers
 
 
-@behave.then('the endpoint was told what is left of the time, and which instance is meant')
+@behave.then('the endpoint received the remaining deadline and the expected instance')
 def endpoint_got_deadline(context):
-    stand_in, request = context.execution
+    test_endpoint, request = context.execution
     assert 0 < int(request['headers']['zinctrail-deadline-remaining']) <= 9100, request
-    assert request['headers']['zinctrail-expected-instance'] == stand_in.identifier, request
+    assert request['headers']['zinctrail-expected-instance'] == test_endpoint.identifier, request
 
 
 @behave.when('a client of the deployment asks {host} for {path}')
 def client_asks_host(context, host: str, path: str):
-    front = deployment_client.running().edges[0].front
+    ingress = deployment_client.running().edges[0].ingress
     context.response = deployment_client.retry_without_lease(
         lambda attempt_id: http_calls.send_attempt(
-            front, host, path, attempt_id, timeout_s=deployment_client.RESPONSE_TIMEOUT_S
+            ingress, host, path, attempt_id, timeout_s=deployment_client.RESPONSE_TIMEOUT_S
         )
     )
 
 
-@behave.then('it gets {status:d}')
+@behave.then('the client gets {status:d}')
 def client_gets_status(context, status: int):
     assert context.response.status == status, context.response
--- a/features/steps/platform_configuration_steps.py
+++ b/features/steps/platform_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform.feature: changes of the configuration over the adapter, and versions of its items."""
+"""Steps of platform.feature: configuration changes through the adapter, and versions of configuration items."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def parse_value(text: str):
-    """The value of a text of JSON, or MISSING for `gone`."""
+    """Return the value of a JSON text, or MISSING for `gone`."""
     return platform_documents.MISSING if text == 'gone' else json.loads(text)
 
 
@@ -32,13 +32,13 @@
     platform_calls.send_configuration(context, platform_documents.first_configuration())
 
 
-@behave.then('it is answered {status:d}')
-def answered_with(context, status: int):
+@behave.then('the response status is {status:d}')
+def response_status_is(context, status: int):
     assert context.response.status == status, context.response
 
 
 def assert_reads_back(context, document):
-    """The configuration that is read back is what a change has set."""
+    """Assert that the configuration read back is the one that a change has set."""
     configuration = platform_calls.read_configuration(context.platform)
     assert configuration == platform_documents.by_name(document['upserts']), configuration
 
@@ -53,18 +53,18 @@
     assert_reads_back(context, context.first)
 
 
-@behave.when('it is changed at {path} to {value}, all else as it was, under a higher version')
+@behave.when('the first configuration is sent under higher versions with {path} set to {value}')
 def one_field_changed(context, path: str, value: str):
     document = platform_documents.with_higher_versions(platform_documents.first_configuration())
     platform_calls.send_configuration(context, platform_documents.with_value(document, path, parse_value(value)))
 
 
-@behave.then('what stands is {how}')
-def configuration_stands(context, how: str):
-    if how == 'as before':
+@behave.then('the configuration in force is {result}')
+def configuration_in_force_is(context, result: str):
+    if result == 'as before':
         assert context.platform.state() == context.state_before
         assert_reads_back(context, context.first)
-        # A refusal must not stand in the way of the next good change.
+        # A refused change must not block the next valid one.
         document = platform_documents.with_higher_versions(platform_documents.first_configuration(), 50)
         platform_calls.send_configuration(context, document)
         assert context.response.status == 200, context.response
@@ -75,51 +75,51 @@
 
 
 def route_change(verb: str, version: int, name: str = 'r1'):
-    """A change that sets or drops one route at a version."""
+    """Return a change that sets or removes one route at a version."""
     if verb == 'set':
         row = platform_documents.route(name, version, timeout_ms=1000 + version)
         return {'upserts': {'route_list': [row]}, 'removals': {}}
     return {'upserts': {}, 'removals': {'route_list': [{'name': name, 'version_number': version}]}}
 
 
-@behave.when('these are sent: {calls}')
+@behave.when('these route changes are sent: {calls}')
 def route_changes_sent(context, calls: str):
     context.responses = []
     for number, words in enumerate(calls.split(', ')):
         verb, version = words.split()
-        # Each at another node, because operators choose among them.
+        # Each change goes to the next control node, because operators may call any of them.
         node = platform_calls.control_node(context.platform, number)
         change = route_change(verb, int(version))
         context.responses.append(context.platform.call('PATCH', '/v1/configuration', change, node=node))
 
 
-@behave.then('they are answered in turn: {statuses}')
-def answered_in_turn(context, statuses: str):
+@behave.then('their response statuses are, in order: {statuses}')
+def response_statuses_are(context, statuses: str):
     wanted = [int(status) for status in statuses.split(', ')]
     assert platform_calls.statuses(context.responses) == wanted, context.responses
 
 
 @behave.then(
-    'its refusal names {name} of {part} at {version:d}, below {standing:d} that stands, and no time to come back'
+    'the refusal names {name} of {list_name} at version {version:d}, with version {in_force:d} in force, and has no Retry-After'
 )
-def refusal_names_item(context, name: str, part: str, version: int, standing: int):
+def refusal_names_item(context, name: str, list_name: str, version: int, in_force: int):
     (response,) = context.responses
-    conflict = {'list': part, 'name': name, 'version_number': version, 'standing_version_number': standing}
+    conflict = {'list': list_name, 'name': name, 'version_number': version, 'standing_version_number': in_force}
     assert response.status == 409 and response.document['conflicts'] == [conflict], response
     assert 'retry-after' not in {header.lower() for header in response.headers}, response
 
 
-@behave.then('of r1 there stands {what}')
-def route_stands(context, what: str):
+@behave.then('the version of r1 in force is {version}')
+def route_version_in_force_is(context, version: str):
     routes = platform_calls.read_configuration(context.platform)['route_list']
     rows = [row for row in routes if row['name'] == 'r1']
-    if what == 'nothing':
+    if version == 'none':
         assert rows == [], rows
         return
-    if what == '7':
+    if version == '7':
         wanted = platform_documents.first_configuration()['upserts']['route_list'][0]
     else:
-        wanted = route_change('set', int(what))['upserts']['route_list'][0]
+        wanted = route_change('set', int(version))['upserts']['route_list'][0]
     assert rows == [wanted], rows
 
 
@@ -133,7 +133,7 @@
 
 
 @behave.when('a call sets r1 at 9, drops r2 at 9, and sets a route to an unknown service')
-def partly_bad_change_sent(context):
+def partly_invalid_change_sent(context):
     routes = [
         platform_documents.route('r1', 9),
         platform_documents.route('r9', 9, service_name='nobody'),
@@ -152,7 +152,7 @@
 
 
 def send_routes(context, routes):
-    """Send a change that sets routes alone."""
+    """Send a change that only sets routes."""
     platform_calls.send_configuration(context, {'upserts': {'route_list': routes}, 'removals': {}})
 
 
@@ -161,7 +161,7 @@
     send_routes(context, [platform_documents.route('r6', 1, service_name='sd')])
 
 
-@behave.when('a call sets {count:d} routes more')
+@behave.when('a call sets {count:d} more routes')
 def many_routes_sent(context, count: int):
     send_routes(context, [platform_documents.route(f'm{index}', 3) for index in range(count)])
 
--- a/features/steps/platform_coordination_steps.py
+++ b/features/steps/platform_coordination_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform.feature: locks, numbers, keys and watches over the adapter."""
+"""Steps of platform.feature: locks, number sequences, keys and watches through the adapter."""
 
 import re
 
@@ -18,7 +18,7 @@
 
 
 def lock_document(verb: str, holder: str, fence: int) -> dict:
-    """The body of a call of a lock."""
+    """Return the body of a lock call."""
     document = {'holder': holder}
     if verb != 'take':
         document['fence_number'] = fence
@@ -27,7 +27,7 @@
     return document
 
 
-@behave.when("the lock's calls are {calls}")
+@behave.when('these lock calls are made: {calls}')
 def lock_calls_made(context, calls: str):
     platform = context.platform
     context.statuses, context.fences, newest_fences = [], [], {}
@@ -50,12 +50,12 @@
             context.fences.append(newest_fences[holder])
 
 
-@behave.then('they are answered {statuses}')
-def lock_calls_answered(context, statuses: str):
+@behave.then('the statuses of the lock calls are {statuses}')
+def lock_call_statuses_are(context, statuses: str):
     assert context.statuses == [int(status) for status in statuses.split(', ')], context.statuses
 
 
-@behave.then('each fence is above the one before')
+@behave.then('each fence number is higher than the previous one')
 def fences_rise(context):
     assert len(context.fences) == 4 and sorted(set(context.fences)) == context.fences, context.fences
 
@@ -63,8 +63,8 @@
 # -- numbers -----------------------------------------------------------------------------
 
 
-@behave.when('{count:d} numbers are asked for at all nodes')
-def numbers_asked_for(context, count: int):
+@behave.when('{count:d} numbers are requested, from each control node in turn')
+def numbers_requested(context, count: int):
     platform = context.platform
     responses = [
         platform.call('POST', '/v1/numbers/n1', {}, node=platform_calls.control_node(platform, index))
@@ -73,7 +73,7 @@
     context.values = [response.document['value'] for response in responses]
 
 
-@behave.then('each value is above the one before')
+@behave.then('each value is higher than the previous one')
 def values_rise(context):
     assert sorted(set(context.values)) == context.values, context.values
 
@@ -82,12 +82,12 @@
 
 
 def put(platform, name: str, value: str, revision: int):
-    """The response to a put that concerns a revision of a key."""
+    """Put a value over a given revision of a key, and return the response."""
     return platform.call('PUT', f'/v1/cells/{name}', {'value': value, 'concerns': revision})
 
 
-@behave.then('these puts and reads are answered so')
-def puts_and_reads_answered(context):
+@behave.then('these puts and reads get these responses')
+def puts_and_reads_get_responses(context):
     for row in context.table:
         verb, name, *value = row['call'].split()
         if verb == 'put':
@@ -100,13 +100,13 @@
 
 
 def put_value(context, name: str, value: str):
-    """Put a value over the newest of a key."""
+    """Put a value over the newest revision of a key."""
     response = put(context.platform, name, value, context.revisions[name])
     assert response.status == 200, response
     context.revisions[name] = response.document['revision']
 
 
-@behave.when('g1.a and g1.b get {count:d} values in turn')
+@behave.when('{count:d} values are put to g1.a and g1.b in turn')
 def keys_get_values(context, count: int):
     context.revisions = dict.fromkeys(KEYS, 0)
     for index in range(count):
@@ -114,25 +114,25 @@
 
 
 def watch(context, after: int, wait_ms: int = 2000):
-    """(response to a watch of the changes after a revision, time that it took)"""
+    """Watch the changes after a revision; return (response, virtual time that it took)."""
     start = context.platform.world.now
     response = context.platform.call('GET', f'/v1/watch/g1.?after={after}&wait_ms={wait_ms}')
     return response, context.platform.world.now - start
 
 
 def revisions_of(response) -> list[int]:
-    """The revisions of the changes that a watch tells."""
+    """Return the revisions of the changes that a watch returns."""
     return [event['revision'] for event in response.document['events']]
 
 
-@behave.then('a watch of g1. after 0 tells revision {revision:d} and no events, at once')
-def first_watch_tells_revision(context, revision: int):
+@behave.then('a watch of g1. after 0 returns revision {revision:d} and no events, at once')
+def first_watch_returns_revision(context, revision: int):
     response, took = watch(context, 0)
     assert response.document == {'events': [], 'revision': revision} and took < AT_ONCE, (response, took)
 
 
-@behave.then('a watch of g1. after {after:d} tells revisions {revisions} at once')
-def watch_tells_changes(context, after: int, revisions: str):
+@behave.then('a watch of g1. after {after:d} returns revisions {revisions} at once')
+def watch_returns_changes(context, after: int, revisions: str):
     response, took = watch(context, after)
     wanted = [int(revision) for revision in revisions.split(',')]
     events = response.document['events']
@@ -142,33 +142,33 @@
     assert took < AT_ONCE, took
 
 
-@behave.then('a watch of g1. after {after:d} waiting {wait_ms:d} ms tells none after {took_ms:d} ms')
+@behave.then('a watch of g1. after {after:d} waiting {wait_ms:d} ms returns none after {took_ms:d} ms')
 def watch_waits(context, after: int, wait_ms: int, took_ms: int):
     response, took = watch(context, after, wait_ms)
     assert response.document == {'events': [], 'revision': after}, (response, took)
     assert ms(wait_ms) <= took < ms(wait_ms + 700), (response, took)
 
 
-@behave.then('a watch of g1. after {after:d} tells a put within {most_ms:d} ms of its answer')
-def watch_tells_a_put(context, after: int, most_ms: int):
+@behave.then('a watch of g1. after {after:d} returns a put within {limit_ms:d} ms of its response')
+def watch_returns_a_put(context, after: int, limit_ms: int):
     platform = context.platform
     path = f'/v1/watch/g1.?after={after}&wait_ms=5000'
     responses = platform.send('GET', path, node=platform_calls.control_node(platform, 1))
     platform.world.run(ms(300))
     assert not responses
     put_value(context, 'g1.a', f'v{after + 1}')
-    assert platform.world.run(ms(most_ms), lambda: bool(responses))
+    assert platform.world.run(ms(limit_ms), lambda: bool(responses))
     assert revisions_of(responses[0]) == [after + 1], responses
 
 
-@behave.then('a watch of g1. after {after:d} still tells all since after {seconds:d} s')
+@behave.then('a watch of g1. after {after:d} still returns all later changes after {seconds:d} s')
 def watch_keeps_history(context, after: int, seconds: int):
     context.platform.world.run(ms(1000 * seconds))
     response, _ = watch(context, after)
     assert revisions_of(response) == [2, 3, 4, 5], response
 
 
-@behave.then('a watch of g1. after {after:d} is answered 410 once its history is gone')
+@behave.then('a watch of g1. after {after:d} gets 410 once its history is removed')
 def watch_is_too_old(context, after: int):
     context.platform.world.run(ms(120000))
     response, _ = watch(context, after)
@@ -177,7 +177,7 @@
     assert response.document == {'events': [], 'revision': 5}, response
 
 
-@behave.then('it is answered with 503 or 504 and Retry-After is a number where nothing was done')
+@behave.then('the response status is 503 or 504, and a 503 has a numeric Retry-After')
 def unavailable_with_retry_after(context):
     response = context.response
     assert response.status in (503, 504), response
--- a/features/steps/platform_input_steps.py
+++ b/features/steps/platform_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform.feature: bodies that can not be read, and fields that are wrong, at each call of the adapter."""
+"""Steps of platform.feature: malformed bodies and fields with wrong values, for each call of the adapter."""
 
 import collections.abc
 import json
@@ -49,11 +49,11 @@
     '/ours',
     '',
 )
-# A call that can not be read needs no quorum, so that it is answered at once.
+# A malformed call is refused before it needs a quorum, so the response comes at once.
 AT_ONCE = ms(200)
 
 
-@behave.when('every call with a body is sent {body}')
+@behave.when('each call that takes a body is sent with {body}')
 def bad_bodies_sent(context, body: str):
     context.state_before, context.responses = context.platform.state(), []
     for method, path in CALLS_WITH_BODY:
@@ -63,21 +63,21 @@
         assert took < AT_ONCE, (method, path, took)
 
 
-@behave.then('each is answered 400 at once, and nothing was changed')
+@behave.then('each response is 400 at once, and the state is unchanged')
 def bad_bodies_are_refused(context):
     assert all(response.status == 400 for response in context.responses), context.responses
     assert context.platform.state() == context.state_before
 
 
 def paths_of(document: dict[str, typing.Any], prefix: str = '') -> collections.abc.Iterator[str]:
-    """The dotted path of each field of a document, also of those within fields."""
+    """Yield the dotted path of each field of a document, including nested fields."""
     for name, value in document.items():
         yield prefix + name
         if isinstance(value, dict):
             yield from paths_of(value, f'{prefix}{name}.')
 
 
-@behave.when('every field of {call} in turn is each kind of wrong')
+@behave.when('each field of {call} in turn is given each wrong value')
 def wrong_fields_sent(context, call: str):
     method, path, document = platform_calls.CALLS[call]
     context.tried = 0
@@ -93,13 +93,13 @@
                 assert response.status == 412 or response.document['error_message'], response
 
 
-@behave.then('each is answered with 400, or is fine, and nothing was changed where it was refused')
+@behave.then('each call is accepted or refused with a 4xx status, and a refused call changes nothing')
 def wrong_fields_were_tried(context):
     assert context.tried > 10
 
 
-@behave.then('the system answers as before')
-def good_calls_are_served(context):
+@behave.then('valid calls are still accepted')
+def valid_calls_are_accepted(context):
     document = platform_documents.with_higher_versions(platform_documents.first_configuration(), 3)
     platform_calls.send_configuration(context, document)
     assert context.response.status == 200, context.response
@@ -113,12 +113,12 @@
         assert response.status == 200, (path, response)
 
 
-@behave.when('one asks {method} {path}')
+@behave.when('a client calls {method} {path}')
 def call_without_body(context, method: str, path: str):
     context.response = context.platform.call(method, path)
 
 
-@behave.when('but one control node is gone, and it is asked {method} {path}')
+@behave.when('all control nodes but one are down, and the remaining one gets the call {method} {path}')
 def call_without_quorum(context, method: str, path: str):
     for node in context.platform.world.of('core')[1:]:
         node.kill()
--- a/features/steps/platform_names_steps.py
+++ b/features/steps/platform_names_steps.py
@@ -16,8 +16,8 @@
 
 ROOT, ADAPTER = repository.ROOT, repository.ADAPTER
 translation, configuration_items = repository.translation, repository.configuration_items
-# Plain words that both use; each was the product's own before.
-BOTH = {
+# Plain words that the platform and the product both use; the product had each of them first.
+SHARED_WORDS = {
     'address',
     'cells',
     'configuration',
@@ -34,8 +34,8 @@
     'watch',
 }
 
-# Terms of the field that the platform also uses for fields of its own: the code may name things so, and say so in
-# a sentence, but no string of the package may be one, as it would be to read or write such a field.
+# Terms of the field that are also names of platform fields: identifiers and sentences may use them, but no string of
+# the package may consist of one, as a string that reads or writes such a field would.
 FIELD_TERMS = {
     'available',
     'idempotent',
@@ -50,7 +50,7 @@
     PROGRAMS = {name for name in tomllib.load(pyproject)['project']['scripts'] if '-' in name}
 
 
-# Written in halves, because the search for these words reads this file as well.
+# Each word is split in two, because the search for these words also reads this file.
 REFUSED = '(?i)' + '|'.join(
     a + b
     for a, b in (
@@ -64,8 +64,8 @@
 )
 
 
-def theirs():
-    """The platform's words, out of the adapter's own modules."""
+def platform_words():
+    """Return the platform's words, read from the adapter's modules."""
     tables = (
         translation.HEADERS,
         configuration_items.KINDS,
@@ -83,7 +83,7 @@
         with open(os.path.join(ADAPTER, name)) as f:
             trees.append(ast.parse(f.read()))
     for n in (node for tree in trees for node in ast.walk(tree)):
-        # Fields that are read by name.
+        # Names of fields that the adapter reads with .get().
         if (
             isinstance(n, ast.Call)
             and isinstance(n.func, ast.Attribute)
@@ -93,19 +93,19 @@
             and isinstance(n.args[0].value, str)
         ):
             out.add(n.args[0].value)
-    ours = {str(v) for t in tables for v in t.values()}
-    assert len(out - ours - BOTH) > 35, sorted(out - ours - BOTH)
-    return {w.lower() for w in out - ours - BOTH}
+    product_words = {str(v) for t in tables for v in t.values()}
+    assert len(out - product_words - SHARED_WORDS) > 35, sorted(out - product_words - SHARED_WORDS)
+    return {w.lower() for w in out - product_words - SHARED_WORDS}
 
 
 def words_of(text, names):
-    """The platform's words in a string of the code; in a sentence, terms of the field are no field's name."""
+    """Return the platform's words in a string; in a sentence, terms of the field do not count as names of fields."""
     found = {word.lower() for word in re.findall(r'[\w-]+', text)} & names
     return found - FIELD_TERMS if ' ' in text.strip() else found
 
 
-def held(source, names):
-    """Which of the names a source holds: as a word of its code or its texts; odd-looking ones in remarks too."""
+def names_in(source, names):
+    """Return the names that a source uses in code or strings; names with a hyphen or underscore also in comments."""
     reserved = names - FIELD_TERMS
     got = {t for t in re.findall(r'[\w-]+', source.lower()) if t in reserved and re.search('[_-]', t)}
     got |= set(re.findall(r'zinctrail-[a-z-]+', source.lower())) - PROGRAMS
@@ -126,7 +126,7 @@
 
 
 def sources():
-    """The source files of the package."""
+    """Return the source files of the package."""
     out = glob.glob(os.path.join(ROOT, 'zinctrail', '**', '*.py'), recursive=True)
     assert len(out) > 40
     return out
@@ -134,20 +134,20 @@
 
 @behave.then('no source of the package holds a header, field, path or word of the platform')
 def no_source_holds_platform_names(context):
-    names, found = theirs(), {}
+    names, found = platform_words(), {}
     for name in sorted(sources()):
         with open(name) as f:
-            got = held(f.read(), names)
+            got = names_in(f.read(), names)
         if got:
             found[os.path.relpath(name, ROOT)] = sorted(got)
-    # All are reported together, so that a known one does not hide another.
+    # All findings are reported together, so that one does not hide another.
     assert not found, found
 
 
-@behave.then('a planted one of each would be seen')
+@behave.then('a planted name of each kind is found')
 def planted_names_are_seen(context):
-    names = theirs()
-    for bad in (
+    names = platform_words()
+    for planted in (
         "x = 'Zinctrail-Attempt-Id'",
         "x = b'zinctrail-anything-new'",
         "row['service_name']",
@@ -164,9 +164,9 @@
         'x = home_regions',
         "x = {'concerns': 1}",
     ):
-        assert held(bad, names), bad
-    assert not held("x = {'cell': 'a', 'pool': 'b', 'zt-id': 1}", names)
-    assert not held("zone = f'No endpoint is up in zone {x}.'", names)
+        assert names_in(planted, names), planted
+    assert not names_in("x = {'cell': 'a', 'pool': 'b', 'zt-id': 1}", names)
+    assert not names_in("zone = f'No endpoint is up in zone {x}.'", names)
 
 
 @behave.then("a program started from platform/ still imports the standard library's platform")
@@ -197,7 +197,7 @@
 
 
 def toml(*path):
-    """A TOML file of the repository."""
+    """Return the content of a TOML file of the repository."""
     with open(os.path.join(ROOT, *path), 'rb') as f:
         return tomllib.load(f)
 
@@ -226,7 +226,7 @@
     assert {'python3', 'python3-pip'} <= set(listed), listed
 
 
-@behave.then('each role runs a program that is there, with a template that fills to its settings')
+@behave.then('each role runs a program that exists, with a template that renders its settings')
 def roles_run_programs_with_templates(context):
     roles = toml('deploy', 'system.toml')['roles']
     assert {r['run'].split()[1] for r in roles.values()} == {
@@ -246,7 +246,7 @@
             assert json.loads(platform_documents.fill_template(f.read(), fields)) == fields
 
 
-@behave.then('the directory is served, and no two roles of a class serve the same')
+@behave.then('the directory is served, and no two roles of a machine class serve the same function')
 def directory_is_served_once(context):
     roles = toml('deploy', 'system.toml')['roles']
     known = {'edge', 'control_plane', 'directory_service'}
@@ -257,7 +257,7 @@
     assert all([r['on'] for r in roles.values()].count(c) <= 2 for c in ('edge', 'core'))
 
 
-@behave.then('no source names what the deploy page refuses')
+@behave.then('no source contains a word that the deploy page forbids')
 def no_source_names_refused_things(context):
     for name in sources() + glob.glob(os.path.join(ADAPTER, '*')) + [os.path.join(ROOT, 'deploy', 'system.toml')]:
         if os.path.isfile(name):
--- a/features/steps/platform_settings_steps.py
+++ b/features/steps/platform_settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps of platform_settings.feature: settings of the platform become flags, and faults in them are told."""
+"""Steps of platform_settings.feature: settings of the platform become flags, and errors in them are reported."""
 
 import json
 import os
@@ -17,22 +17,22 @@
 SEEDS = ['10.1.0.17:8649', '10.2.0.44:8649']
 
 
-def edge():
-    """The settings that the platform hands to an edge machine."""
+def edge_settings():
+    """Return the settings that the platform gives to an edge machine."""
     return platform_documents.process_settings('edge', '10.1.0.15', 'z1', SEEDS)
 
 
 def by_flag(lines):
-    """Lines of a flag file as {flag: value}."""
+    """Return the lines of a flag file as {flag: value}."""
     return dict(line.removeprefix('--').partition('=')[::2] for line in lines)
 
 
-@behave.then("an edge machine's become these flags")
+@behave.then('the settings of an edge machine become these flags')
 def edge_settings_become_flags(context):
-    assert by_flag(settings.flags(edge())) == {row['flag']: row['value'] for row in context.table}
+    assert by_flag(settings.flags(edge_settings())) == {row['flag']: row['value'] for row in context.table}
 
 
-@behave.then("a core machine's become, beside these, two doors, its data folder, and the directory's duty")
+@behave.then('the settings of a core machine also give two API addresses, the data folder and the directory flag')
 def core_settings_become_flags(context):
     got = by_flag(
         settings.flags(platform_documents.process_settings('core', '10.1.0.17', 'z1', SEEDS, data='/data/my-core'))
@@ -41,22 +41,22 @@
     assert got['directory'] == '' and 'front' not in got, got
 
 
-@behave.when('the setting {place} is {val}')
-def change_setting(context, place, val):
+@behave.when('the setting {place} is {value}')
+def change_setting(context, place, value):
     doc = (
-        platform_documents.with_value(edge(), place.partition('.')[0], {})
-        if place.split('.')[0] not in edge()
-        else edge()
+        platform_documents.with_value(edge_settings(), place.partition('.')[0], {})
+        if place.split('.')[0] not in edge_settings()
+        else edge_settings()
     )
-    if val != 'gone' or place.split('.')[-1] in doc or '.' in place:
+    if value != 'gone' or place.split('.')[-1] in doc or '.' in place:
         doc = platform_documents.with_value(
-            doc, place, platform_documents.MISSING if val == 'gone' else json.loads(val)
+            doc, place, platform_documents.MISSING if value == 'gone' else json.loads(value)
         )
-    context.faults, context.lines = [], []
+    context.errors, context.lines = [], []
     try:
         context.lines = settings.flags(doc)
     except settings.SettingsFileError as e:
-        context.faults = e.errors
+        context.errors = e.errors
 
 
 @behave.then('the flag {flag} is {value}')
@@ -64,14 +64,14 @@
     assert by_flag(context.lines)[flag] == value, context.lines
 
 
-@behave.then('the settings are told at {place}')
-def settings_fault_told_at(context, place):
-    assert [p for p, _ in context.faults] == [place], context.faults
+@behave.then('the settings are refused at {place}')
+def settings_are_refused_at(context, place):
+    assert [p for p, _ in context.errors] == [place], context.errors
 
 
-@behave.then('the settings are fine')
-def settings_are_fine(context):
-    assert not context.faults, context.faults
+@behave.then('the settings are accepted')
+def settings_are_accepted(context):
+    assert not context.errors, context.errors
     got = by_flag(context.lines)
     names = {f.name: f for f in runtime_settings.Settings.__dataclass_fields__.values()}
     made = {}
@@ -79,11 +79,11 @@
         name = k.removesuffix('_ms')
         if name in names:
             made[name] = durations.ms(int(v)) if k.endswith('_ms') else type(names[name].default)(v)
-    # Settings that are fine must not become flags that the product refuses.
+    # Accepted settings must not become flags that the product refuses.
     assert runtime_settings.Settings(**made).faults() == [], (made, runtime_settings.Settings(**made).faults())
 
 
-@behave.then('zinctrail-controller and zinctrail-proxy started with {what} end with 2 and say {lines}')
+@behave.then('zinctrail-controller and zinctrail-proxy started with {what} exit with 2 and print {lines}')
 def programs_refuse_settings(context, what, lines):
     folder = tempfile.mkdtemp(prefix='zt-settings-')
     name = os.path.join(folder, 'node.json')
@@ -94,7 +94,7 @@
         'three faults': json.dumps(
             platform_documents.with_value(
                 platform_documents.with_value(
-                    platform_documents.with_value(edge(), 'ip_address', 7), 'zones', platform_documents.MISSING
+                    platform_documents.with_value(edge_settings(), 'ip_address', 7), 'zones', platform_documents.MISSING
                 ),
                 'bounds.ttl_max_s',
                 'x',
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -137,7 +137,7 @@
     context.notes = soak_notes.Notes()
     soak = types.SimpleNamespace(seed=1, notes=context.notes)
     still_there = types.SimpleNamespace(poll=lambda: None)
-    process = types.SimpleNamespace(name='edge', front=FRONT, process=still_there, signal=lambda number: None)
+    process = types.SimpleNamespace(name='edge', ingress=FRONT, process=still_there, signal=lambda number: None)
     context.keeper = keepers.Keeper(soak, process)
 
 
--- a/features/support/deployment.py
+++ b/features/support/deployment.py
@@ -28,7 +28,7 @@
 CONTROL_TIMEOUT_S = 3
 POLL_SECONDS = 0.02
 RETRY_SECONDS = 0.1
-# Statuses after which an operator asks another control node.
+# Statuses after which an operator calls another control node.
 RETRIED_STATUSES = (408, 429)
 
 # The deployments that run, for steps of several scenarios; they are stopped when their feature ends.
@@ -36,13 +36,16 @@
 
 
 def draw_network() -> str:
-    """The first three bytes of a network of one's own: ports are the same on all machines, and others may run beside."""
+    """Return the first three bytes of a random loopback network.
+
+    All deployments use the same ports, so that each needs a network of its own to run beside others.
+    """
     generator = random.SystemRandom()
     return f'127.{generator.randrange(2, 250)}.{generator.randrange(1, 250)}'
 
 
 class AdapterProcess:
-    """One process of the adapter, on an address of its own; its role is 'core' or 'edge'."""
+    """A process of the adapter, on its own address; its role is 'core' or 'edge'."""
 
     def __init__(self, deployment: 'Deployment', role: str, ip: str, zone: str, seeds: list[str]):
         self.role, self.ip, self.name = role, ip, f'{role}-{ip}'
@@ -53,13 +56,13 @@
         self.settings_file = os.path.join(deployment.folder, f'{self.name}.settings')
         self.log_file = os.path.join(deployment.folder, f'{self.name}.log')
         self.process: subprocess.Popen | None = None
-        # The product's own pages are at the second internal port.
+        # The product's own HTTP API is at the second internal port.
         self.internal = f'{ip}:{self.settings["internal_port_range"][0] + 1}'
-        self.front, self.readiness = f'{ip}:8641', f'{ip}:8640'
+        self.ingress, self.readiness = f'{ip}:8641', f'{ip}:8640'
         self.control, self.directory = f'{ip}:8649', f'{ip}:8644'
 
     def write_settings(self) -> None:
-        """Fill the settings file as the platform does, and replace it at once."""
+        """Render the settings file as the platform does, and replace it atomically."""
         with open(os.path.join(repository.ADAPTER, 'settings.json'), encoding='utf-8') as template:
             text = platform_documents.fill_template(template.read(), self.settings)
         with open(self.settings_file + '.tmp', 'w', encoding='utf-8') as out:
@@ -86,13 +89,13 @@
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float = 30) -> int:
-        """The exit status of the process, once it has ended."""
+        """Wait until the process has exited, and return its exit status."""
         assert self.process is not None
         return self.process.wait(timeout_s)
 
 
 class Deployment:
-    """`cores` control nodes and `edges` proxies, spread over the zones."""
+    """A deployment of `cores` control nodes and `edges` proxies, spread over the zones."""
 
     def __init__(self, cores: int = 3, edges: int = 2):
         self.folder = tempfile.mkdtemp(prefix='zt-chain-')
@@ -101,25 +104,25 @@
         self.cores = [self.new_process('core', index + 1, index, seeds) for index in range(cores)]
         self.edges = [self.new_process('edge', index + FIRST_PROXY, index, seeds) for index in range(edges)]
         self.endpoints: list[endpoint.Endpoint] = []
-        # A counter and not the set's size, because clients run on several threads.
+        # A counter rather than the size of `attempts`, because clients run on several threads.
         self.attempt_numbers = itertools.count(1)
-        # Every attempt id that a client here sent.
+        # Every attempt id that a client of this deployment sent.
         self.attempts: set[str] = set()
         # The configuration items that were acknowledged.
         self.items: dict[str, typing.Any] = {}
-        # What any endpoint executed, in order.
+        # The requests that endpoints executed, in order.
         self.executed: list[endpoint.Request] = []
         RUNNING.append(self)
         atexit.register(self.stop)
 
     def new_process(self, role: str, number: int, index: int, seeds: list[str]) -> AdapterProcess:
-        """A process at an address of this network, in the zone whose turn it is."""
+        """Return a new process at an address of this network; the index selects its zone in rotation."""
         zones = list(platform_documents.ZONES)
         return AdapterProcess(self, role, f'{self.network}.{number}', zones[index % len(zones)], seeds)
 
     @property
     def processes(self) -> list[AdapterProcess]:
-        """All control nodes and proxies."""
+        """The processes of all control nodes and proxies."""
         return self.cores + self.edges
 
     def start(self) -> 'Deployment':
@@ -130,16 +133,16 @@
         return self
 
     def is_ready(self, process: AdapterProcess) -> bool:
-        """Whether a proxy says that it takes requests."""
+        """Return True if a proxy reports that it is ready."""
         try:
             return http_calls.call(process.readiness, 'GET', '/v1/readiness').status == 200
         except OSError:
             return False
 
     def stop(self) -> None:
-        """End everything at once."""
-        for stand_in in self.endpoints:
-            stand_in.crash()
+        """Kill all endpoints and processes."""
+        for test_endpoint in self.endpoints:
+            test_endpoint.crash()
         for process in self.processes:
             process.signal(signal.SIGKILL)
         for process in self.processes:
@@ -157,12 +160,12 @@
             if value:
                 return value
             time.sleep(POLL_SECONDS)
-        raise RuntimeError(f'waited in vain for {what}; logs are in {self.folder}')
+        raise RuntimeError(f'timed out after {limit_s} s waiting for {what}; logs are in {self.folder}')
 
     def call_control(
         self, method: str, path: str, document: typing.Any = None, limit_s: float = 30
     ) -> http_calls.Response:
-        """A call as operators and applications make it: at another node after a failure, until the response is clear.
+        """Call the control nodes as operators do: after a failure, try the next node until a response is conclusive.
 
         Raises RuntimeError at the limit.
         """
@@ -176,36 +179,38 @@
                 if response.status < 500 and response.status not in RETRIED_STATUSES:
                     return response
             if time.monotonic() > deadline:
-                raise RuntimeError(f'{method} {path}: no clear response')
+                raise RuntimeError(f'{method} {path}: no conclusive response within {limit_s} s')
             time.sleep(RETRY_SECONDS)
 
-    def knows(self, process: AdapterProcess, stand_in: endpoint.Endpoint) -> bool:
-        """Whether a process has the endpoint as ready in its copy of the state."""
+    def knows(self, process: AdapterProcess, test_endpoint: endpoint.Endpoint) -> bool:
+        """Return True if a process has the endpoint as ready in its copy of the state."""
         tables = http_calls.call(process.internal, 'GET', '/v1/copy').document['tables']
-        row = tables.get('endpoints', {}).get(stand_in.identifier)
-        return row is not None and row['state'] == 'ready' and row['addr'] == stand_in.address
+        row = tables.get('endpoints', {}).get(test_endpoint.identifier)
+        return row is not None and row['state'] == 'ready' and row['addr'] == test_endpoint.address
+
+    def has_drain_in_force(self, process: AdapterProcess, test_endpoint: endpoint.Endpoint) -> bool:
+        """Return True if a process has applied a state in which the endpoint is no longer ready.
 
-    def has_drain_in_force(self, process: AdapterProcess, stand_in: endpoint.Endpoint) -> bool:
-        """Whether a process has applied that the endpoint is not ready any more: its copy also shows what is not yet
-        committed, which it does not act on."""
+        The copy must be fully committed, because it also shows accepted changes on which the process does not act yet.
+        """
         copy = http_calls.call(process.internal, 'GET', '/v1/copy').document
-        row = copy['tables'].get('endpoints', {}).get(stand_in.identifier)
+        row = copy['tables'].get('endpoints', {}).get(test_endpoint.identifier)
         return copy['accepted'] == copy['committed'] and (row is None or row['state'] != 'ready')
 
     def start_endpoint(self, service_name: str, zone: str = 'z1', **options) -> endpoint.Endpoint:
-        """Start an endpoint on an address that no other had."""
+        """Start an endpoint on an address that no other endpoint has had."""
         ip = f'{self.network}.{FIRST_ENDPOINT + len(self.endpoints)}'
         return self.start_endpoint_at(ip, service_name, zone, **options)
 
     def start_endpoint_at(self, ip: str, service_name: str, zone: str = 'z1', **options) -> endpoint.Endpoint:
         """Start an endpoint on a given address."""
-        stand_in = endpoint.Endpoint(self, ip, service_name, zone, **options)
-        self.endpoints.append(stand_in)
-        stand_in.start()
-        return stand_in
+        test_endpoint = endpoint.Endpoint(self, ip, service_name, zone, **options)
+        self.endpoints.append(test_endpoint)
+        test_endpoint.start()
+        return test_endpoint
 
     def new_attempt_id(self) -> str:
-        """An attempt id that no other client uses."""
+        """Return a new attempt id, unique among all clients."""
         attempt_id = f'{os.getpid():x}{next(self.attempt_numbers):012x}'
         self.attempts.add(attempt_id)
         return attempt_id
--- a/features/support/deployment_client.py
+++ b/features/support/deployment_client.py
@@ -47,13 +47,19 @@
         time.sleep(LEASE_POLL_S)
 
 
-def send_request(front: str, route: str = 'r1', left_ms: int = 10000, **options) -> http_calls.Response:
+def send_request(ingress: str, route: str = 'r1', remaining_ms: int = 10000, **options) -> http_calls.Response:
     """The response to a request on a route, with its attempt id; its status is 0 if the connection was lost."""
 
     def send(attempt_id):
         try:
             response = http_calls.send_attempt(
-                front, HOST, f'/{route}/x', attempt_id, left_ms=left_ms, timeout_s=RESPONSE_TIMEOUT_S, **options
+                ingress,
+                HOST,
+                f'/{route}/x',
+                attempt_id,
+                remaining_ms=remaining_ms,
+                timeout_s=RESPONSE_TIMEOUT_S,
+                **options,
             )
         except http_calls.ConnectionLostError as fault:
             response = http_calls.Response(0, {}, str(fault).encode())
@@ -63,9 +69,9 @@
     return retry_without_lease(send)
 
 
-def wait_for_good_response(front: str) -> None:
+def wait_for_good_response(ingress: str) -> None:
     """Send good requests until one is answered with 200."""
-    running().wait_until(lambda: send_request(front).status == 200, 'a good answer', 30)
+    running().wait_until(lambda: send_request(ingress).status == 200, 'a good answer', 30)
 
 
 def executions(attempt_id: str) -> list[Executed]:
@@ -101,7 +107,7 @@
 
 def wait_for_resolutions(edges: list[deployments.AdapterProcess], what: str, limit_s: float = 60) -> None:
     """Wait until each control node gives just the addresses of these proxies."""
-    wanted = [sorted(process.front for process in edges)] * len(running().cores)
+    wanted = [sorted(process.ingress for process in edges)] * len(running().cores)
     running().wait_until(lambda: resolutions() == wanted, what, limit_s)
 
 
@@ -117,7 +123,7 @@
     running().items['route_list'] += routes
 
 
-def add_long_timeout_routes(front: str) -> None:
+def add_long_timeout_routes(ingress: str) -> None:
     """Add the patient routes, unless they are there, and wait until a proxy knows them."""
     targets_ms = {LONG_TIMEOUT_ROUTE: LONG_TIMEOUT_MS, LONG_TIMEOUT_HEDGED_ROUTE: ROUTE_TARGET_MS}
     if all(route['name'] != LONG_TIMEOUT_ROUTE for route in running().items['route_list']):
@@ -128,7 +134,7 @@
             ]
         )
     running().wait_until(
-        lambda: {send_request(front, name).status for name in targets_ms} == {200}, 'the patient routes'
+        lambda: {send_request(ingress, name).status for name in targets_ms} == {200}, 'the patient routes'
     )
 
 
--- a/features/support/http_calls.py
+++ b/features/support/http_calls.py
@@ -81,20 +81,20 @@
 
 
 def send_attempt(
-    front: str,
+    ingress: str,
     host: str,
     path: str,
     attempt_id: str,
     method: str = 'GET',
     body: bytes = b'',
-    left_ms: int = 3000,
+    remaining_ms: int = 3000,
     headers: collections.abc.Iterable = (),
     timeout_s: float = 10,
 ) -> Response:
     """One attempt of a client at a proxy's front; raises ConnectionLostError."""
     try:
         return call(
-            front,
+            ingress,
             method,
             path,
             raw=body or None,
@@ -102,7 +102,7 @@
             headers={
                 'Host': host,
                 'Zinctrail-Attempt-Id': attempt_id,
-                'Zinctrail-Deadline-Remaining': str(left_ms),
+                'Zinctrail-Deadline-Remaining': str(remaining_ms),
                 **dict(headers),
             },
         )
--- a/features/support/platform_documents.py
+++ b/features/support/platform_documents.py
@@ -1,16 +1,16 @@
-"""Documents as the platform's pages show them: configuration calls, heartbeats, process settings."""
+"""Documents as PROTOCOL.md and DEPLOY.md show them: configuration calls, heartbeats, process settings."""
 
 import json
 import re
 import typing
 
 ZONES = {'z1': 'north', 'z2': 'south', 'z3': 'west', 'z4': 'north'}
-# Stands for a field that is taken away, see `with_value`.
+# Marks a field that `with_value` removes.
 MISSING = object()
 
 
 def route(name: str = 'r1', version: int = 7, **fields) -> dict[str, typing.Any]:
-    """A route of the platform's configuration."""
+    """Return a route of the platform's configuration."""
     row = {
         'name': name,
         'host_name': 'hulo.example',
@@ -31,7 +31,7 @@
 
 
 def service(name: str = 'sa', version: int = 7, **fields) -> dict[str, typing.Any]:
-    """A service of the platform's configuration."""
+    """Return a service of the platform's configuration."""
     return {
         'name': name,
         'health_path': '/health',
@@ -46,7 +46,7 @@
 
 
 def limits(version: int = 7, **fields) -> dict[str, typing.Any]:
-    """The limits on requests of the platform's configuration."""
+    """Return the request limits of the platform's configuration."""
     return {
         'max_header_bytes': 16384,
         'max_body_bytes': 67108864,
@@ -58,7 +58,7 @@
 
 
 def first_configuration() -> dict[str, typing.Any]:
-    """A first configuration call with each kind of item."""
+    """Return the body of a first configuration call, with each kind of item."""
     split = [{'service_name': 'sa', 'weight': 90}, {'service_name': 'sb', 'weight': 10}]
     return {
         'upserts': {
@@ -77,7 +77,7 @@
 def heartbeat(
     service_name: str = 'sa', address: str = '10.9.0.1:80', sequence: int = 1, **fields
 ) -> dict[str, typing.Any]:
-    """An endpoint's heartbeat; `fields` go where the page has them."""
+    """Return the body of an endpoint's heartbeat; each of `fields` goes to the object that PROTOCOL.md puts it in."""
     information = {'service_name': service_name, 'version_number': 'v1', 'zone': 'z1', 'slot_count': 4}
     status = {'state': 'available', 'call_sequence': sequence, 'cold_remaining_ms': 0}
     for name, value in fields.items():
@@ -86,7 +86,7 @@
 
 
 def by_name(document: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """A configuration whose lists are in the order of names, as their own order means nothing."""
+    """Return a configuration with its lists sorted by name, since their order has no meaning."""
     return {
         key: sorted(value, key=lambda row: row['name']) if isinstance(value, list) else value
         for key, value in document.items()
@@ -94,7 +94,7 @@
 
 
 def with_higher_versions(document: typing.Any, by: int = 2) -> typing.Any:
-    """A copy of a change that sets the same items under versions above those they had."""
+    """Return a copy of a change whose items have higher versions."""
     document = json.loads(json.dumps(document))
     upserts = document['upserts']
     for row in [*upserts['route_list'], *upserts['service_list'], upserts['limits']]:
@@ -103,7 +103,7 @@
 
 
 def with_value(document: typing.Any, path: str, value: typing.Any) -> typing.Any:
-    """A copy of a document with another value at a dotted path; without the field where the value is MISSING."""
+    """Return a copy of a document with another value at a dotted path, or without that field if the value is MISSING."""
     document = json.loads(json.dumps(document))
     *parents, last = [int(part) if part.isdigit() else part for part in path.split('.')]
     parent = document
@@ -117,7 +117,10 @@
 
 
 def fill_template(template: str, values: dict[str, typing.Any]) -> str:
-    """The platform's template engine, as far as our templates use it; raises ValueError for what it does not know."""
+    """Render a template as the platform's engine does, with the features that our templates use.
+
+    Raises ValueError for any other placeholder.
+    """
 
     def filled(match: re.Match[str]) -> str:
         name, _, form = match.group(1).partition('|')
@@ -125,14 +128,14 @@
         for part in [part for part in name.split('.') if part]:
             value = value[int(part)] if isinstance(value, list) else value.get(part)
         if form not in ('', 'json'):
-            raise ValueError(f'no such form: {form}')
+            raise ValueError(f'unknown form of a placeholder: {form}')
         if form == 'json' or isinstance(value, dict):
             return json.dumps(value)
         return '' if value is None else ','.join(map(str, value)) if isinstance(value, list) else str(value)
 
     text = re.sub(r'\{\{([^{}#^/@,]+)\}\}', filled, template)
     if '{{' in text:
-        raise ValueError('a placeholder that this stand-in does not know')
+        raise ValueError('the template has a placeholder that this test double does not support')
     return text
 
 
@@ -145,7 +148,7 @@
     data: str | None = None,
     **fields,
 ) -> dict[str, typing.Any]:
-    """Settings as DEPLOY.md lists them, for one process of the role 'core' or 'edge'."""
+    """Return settings as DEPLOY.md lists them, for one process of the role 'core' or 'edge'."""
     is_edge = role == 'edge'
     return {
         'node_name': f'{role}-{ip}',
@@ -182,14 +185,14 @@
 
 
 def listen_addresses(is_edge: bool, ip: str) -> dict[str, str]:
-    """Where a process listens for others than its peers."""
+    """Return the addresses on which a process listens for callers other than its peers."""
     if is_edge:
         return {'front_http': f'{ip}:8641', 'readiness': f'{ip}:8640'}
     return {'control_plane': f'{ip}:8649', 'directory_service': f'{ip}:8644'}
 
 
 def platform_bounds() -> dict[str, typing.Any]:
-    """The bounds that the platform gives to every process."""
+    """Return the bounds that the platform gives to every process."""
     return {
         'seed_lag_s': 3,
         'address_reuse_s': 2,
--- a/features/support/simulated_platform.py
+++ b/features/support/simulated_platform.py
@@ -1,4 +1,4 @@
-"""The adapter before a simulated cluster, called as the platform does, in virtual time."""
+"""A simulated cluster in virtual time, called through the adapter as the platform calls it."""
 
 import json
 import typing
@@ -14,7 +14,7 @@
 CONTROL_NODES = 3
 PROXIES = 2
 START_LIMIT = durations.ms(30000)
-# Tables that change by themselves.
+# Tables that change without any call.
 VOLATILE_TABLES = ('meta', 'members')
 
 
@@ -24,11 +24,11 @@
     def __init__(self, seed: int = 1):
         self.world = world.World(seed)
         self.dialect = repository.translation.PlatformDialect(platform_documents.ZONES)
-        cells = [f'{region}/{zone}' for zone, region in platform_documents.ZONES.items()]
+        zones = [f'{region}/{zone}' for zone, region in platform_documents.ZONES.items()]
         for index in range(CONTROL_NODES):
-            self.world.add(f'core{index}', 'core', cells[index]).location.directory = True
+            self.world.add(f'core{index}', 'core', zones[index]).location.directory = True
         for index in range(PROXIES):
-            self.world.add(f'prox{index}', 'prox', cells[index]).location.front = f'10.1.0.{index}:8641'
+            self.world.add(f'prox{index}', 'prox', zones[index]).location.front = f'10.1.0.{index}:8641'
         for node in self.world.nodes.values():
             node.location.seeds = [control_node.location.addr for control_node in self.world.of('core')]
             node.start()
@@ -36,11 +36,11 @@
             raise RuntimeError('the simulated platform did not become ready')
 
     def is_ready(self) -> bool:
-        """Whether there is a leader and every proxy holds a lease."""
+        """Return True if there is a leader and every proxy holds a lease."""
         return bool(self.world.leader() and all(node.machine.has_lease() for node in self.world.of('prox')))
 
     def send(self, method: str, path: str, document: typing.Any = None, raw: bytes | None = None, node=None) -> list:
-        """Send a call and return at once; the list that comes back gets the response."""
+        """Send a call without waiting; the response is appended to the returned list."""
         node = node or self.world.of('core')[0]
         body = raw if raw is not None else b'' if document is None else json.dumps(document).encode()
         responses = []
@@ -61,23 +61,23 @@
     def call(
         self, method: str, path: str, document: typing.Any = None, timeout_ms: int = 9000, **options
     ) -> http_calls.Response:
-        """Send a call and wait for its response."""
+        """Send a call and return its response."""
         responses = self.send(method, path, document, **options)
         if not self.world.run(durations.ms(timeout_ms), lambda: bool(responses)):
             raise RuntimeError(f'{method} {path}: no response')
         return responses[0]
 
     def leading_replica(self) -> replica.Replica:
-        """The state that the leader holds."""
+        """Return the replica of the leader."""
         leader = self.world.leader()
-        assert leader is not None, 'nobody leads'
+        assert leader is not None, 'no control node is the leader'
         return leader.machine.replica
 
     def state(self) -> str:
-        """All that the control nodes keep, except for what changes by itself."""
+        """Return the replicated state as JSON, without the tables that change without any call."""
         tables = self.leading_replica().tables
         return json.dumps({name: rows for name, rows in tables.items() if name not in VOLATILE_TABLES}, sort_keys=True)
 
     def endpoints(self) -> dict[str, typing.Any]:
-        """The rows of the endpoints that the leader knows."""
+        """Return the endpoint rows in the replica of the leader."""
         return self.leading_replica().get('endpoints')
--- a/features/support/soak/clients.py
+++ b/features/support/soak/clients.py
@@ -56,7 +56,7 @@
         self.rng = random.Random(f'{soak.seed}/client{number}')
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
-        self.front = ''
+        self.ingress = ''
         self.host = ''
 
     async def run(self) -> None:
@@ -75,8 +75,8 @@
         fronts = self.soak.directory.known[self.zone, self.host]
         if not fronts:
             return False
-        self.front = self.rng.choice(fronts)
-        host, _, port = self.front.rpartition(':')
+        self.ingress = self.rng.choice(fronts)
+        host, _, port = self.ingress.rpartition(':')
         try:
             self.reader, self.writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 1.0)
         except (OSError, TimeoutError):
@@ -96,8 +96,8 @@
             id=self.soak.notes.new_attempt_id(),
             route=route.name,
             runs_once=route.runs_once,
-            front=self.front,
-            start=self.soak.starts_of(self.front),
+            ingress=self.ingress,
+            start=self.soak.starts_of(self.ingress),
             sent_at=soak_notes.now(),
         )
         self.soak.notes.attempts[attempt.id] = attempt
--- a/features/support/soak/keepers.py
+++ b/features/support/soak/keepers.py
@@ -39,7 +39,7 @@
             self.told_at = soak_notes.now()
             self.ended_by = number
         self.soak.notes.signals.append(
-            soak_notes.Signal(self.process.name, self.process.front, number, soak_notes.now())
+            soak_notes.Signal(self.process.name, self.process.ingress, number, soak_notes.now())
         )
         self.process.signal(number)
 
--- a/features/support/soak/notes.py
+++ b/features/support/soak/notes.py
@@ -19,7 +19,7 @@
     route: str
     runs_once: bool
     # The address of the proxy, and how often its process had been started by then.
-    front: str
+    ingress: str
     start: int
     sent_at: float
     ended_at: float | None = None
@@ -49,7 +49,7 @@
     """A signal that a process was sent."""
 
     name: str
-    front: str
+    ingress: str
     number: int
     at: float
 
--- a/features/support/soak/run.py
+++ b/features/support/soak/run.py
@@ -79,7 +79,7 @@
         self.cores, self.edges = self.keepers[:cores], self.keepers[cores:]
         self.zones = list(platform_documents.ZONES)
         self.regions = {**platform_documents.ZONES}
-        self.regions.update({keeper.process.front: keeper.process.settings['region'] for keeper in self.edges})
+        self.regions.update({keeper.process.ingress: keeper.process.settings['region'] for keeper in self.edges})
         self.all_routes = ROUTES
         self.hosts = sorted({route.host for route in ROUTES})
         self.routes_of_host = {host: [route for route in ROUTES if route.host == host] for host in self.hosts}
@@ -90,9 +90,9 @@
         # When each process was started.
         self.starts: dict[str, list[float]] = {keeper.process.name: [] for keeper in self.keepers}
 
-    def starts_of(self, front: str) -> int:
+    def starts_of(self, ingress: str) -> int:
         """How often the process at a front has been started."""
-        return next((keeper.starts for keeper in self.edges if keeper.process.front == front), 0)
+        return next((keeper.starts for keeper in self.edges if keeper.process.ingress == ingress), 0)
 
     # -- calls ------------------------------------------------------------------
 
--- a/features/support/soak/verdicts.py
+++ b/features/support/soak/verdicts.py
@@ -45,7 +45,7 @@
         self.unplanned: dict[str, list[float]] = collections.defaultdict(list)
         for sent in notes.signals:
             if sent.number in UNPLANNED:
-                self.unplanned[sent.front].append(sent.at)
+                self.unplanned[sent.ingress].append(sent.at)
 
     def verdicts(self) -> list[str]:
         """All findings."""
@@ -70,7 +70,7 @@
     def is_calm(self, attempt: soak_notes.Attempt) -> bool:
         """Whether the process at an attempt's front had no unplanned trouble around it."""
         end = attempt.ended_at or attempt.sent_at
-        return not any(attempt.sent_at - CONTACT_S <= at <= end for at in self.unplanned[attempt.front])
+        return not any(attempt.sent_at - CONTACT_S <= at <= end for at in self.unplanned[attempt.ingress])
 
     def mixed(self) -> list[str]:
         """A success without the seal, or with another body than its endpoint's for this very attempt."""
@@ -116,7 +116,7 @@
             took_s = attempt.ended_at - attempt.sent_at
             if runs or took_s > self.slack_s(LOSS_SLACK_S, attempt.sent_at, attempt.ended_at):
                 findings.append(
-                    f'{attempt.id} of {attempt.route} at {attempt.front} ended with {attempt.fault} after'
+                    f'{attempt.id} of {attempt.route} at {attempt.ingress} ended with {attempt.fault} after'
                     f' {took_s:.3f} s, {"passed on" if runs else "not passed on"}'
                 )
         return findings
