--- a/features/replay.feature
+++ b/features/replay.feature
@@ -1,9 +1,9 @@
 Feature: Replayed days
 
   Scenario Outline: A line that can not be used stops it before anything is sent
-    Given a day whose third line is <line>
-    When it is read
-    Then line 3 is at fault, and says <why>
+    Given a recorded day whose third line is <line>
+    When the recorded day is read
+    Then the error names line 3, and says <why>
     Examples:
       | line                                                        | why                |
       | {                                                           | Expecting          |
@@ -20,22 +20,22 @@
       | {"at_ms": 1, "do": "beat", "end": "x"}                      | end must be        |
 
   Scenario: Told to skip, it counts what it skipped
-    Given a day whose third line is {
-    When it is read, skipping
-    Then 1 line was skipped and the rest is there
+    Given a recorded day whose third line is {
+    When the recorded day is read, skipping invalid lines
+    Then 1 line was skipped and the other events are read
 
   Scenario: A day without its header is refused even when skipping
-    Given a day without its header
-    Then reading it is refused at line 1, even when skipping
+    Given a recorded day without its header
+    Then reading it fails at line 1, even when skipping invalid lines
 
   Scenario: What is written is read back the same
     Given generated days of small, accra and ukks
-    Then each is read back as it was made, and the same seed makes the same day
+    Then each is read back unchanged, and the same seed generates the same day
 
   Scenario: A generated day with a closing fault, inside the simulator
     When zinctrail-replay makes a day of small and replays it in the simulator
-    Then it ends with code 0, outcomes, waits and no verdicts
+    Then it exits with code 0 and prints outcomes, waits and no verdicts
 
   Scenario: A malformed file
     When zinctrail-replay replays a malformed file
-    Then it ends with code 2 and names the line
+    Then it exits with code 2 and names the line
--- a/features/steps/edge_disk_steps.py
+++ b/features/steps/edge_disk_steps.py
@@ -1,4 +1,4 @@
-"""Steps of edge.feature: writes that fail, the files of a data folder, and handlers that break."""
+"""Steps of edge.feature: disk writes that fail, the files of a data folder, and handlers that raise."""
 
 import builtins
 import contextlib
@@ -25,47 +25,47 @@
 import zinctrail.transport.host as host
 
 LOCATION = node_location.NodeLocation('127.0.0.1:1', '127.0.0.1:2', 'c', [])
-# How many versions a voter takes between two starts.
-VERSIONS_PER_LIFE = 60
+# How many versions a voter accepts between two starts.
+VERSIONS_PER_START = 60
 
 
 class RecordingMachine(state_machine.StateMachine):
-    """Has the effects that it is given, and notes which faults of the disk it hears of."""
+    """Emits the effects that it is given, and records the disk errors that it is notified of."""
 
     def __init__(self):
         super().__init__(random.Random(1))
         self.settings = settings.Settings()
-        self.disk_faults = []
+        self.disk_errors = []
         self.location = LOCATION
 
     def on_do(self, given_effects):
-        """Have these effects."""
+        """Emit these effects."""
         self.out.extend(given_effects)
 
     def on_disk_fault(self, text):
-        """Note a fault of the disk."""
-        self.disk_faults.append(text)
+        """Record a disk error."""
+        self.disk_errors.append(text)
 
     def on_break(self):
-        """Fail as a handler with a defect does."""
+        """Raise, as a handler with a defect does."""
         raise KeyError('a bug of ours')
 
 
 def host_of(machine, machine_disk):
-    """A host for a machine, whose time stands still."""
+    """Return a host for a machine, on a clock that does not advance."""
     clock = task.Clock()
     clock.stop = lambda: None
     return host.Host(machine, clock, machine_disk)
 
 
 def term_in(folder):
-    """The term that a data folder loads as."""
+    """Return the term that is loaded from a data folder."""
     files = disk.Disk.load(types.SimpleNamespace(folder=folder))
     return storage.decode('term', files['term'])['term']
 
 
 def term_file(term, vote):
-    """The text of the file `term`."""
+    """Return the text of the file `term`."""
     return storage.encode({'term': term, 'vote': vote})
 
 
@@ -77,7 +77,7 @@
 
 
 def failing_once(name, condition, error_number=errno.EIO):
-    """A patch by which os.NAME fails once: at its first call whose arguments meet a condition."""
+    """Return a patch that makes os.NAME fail once: at the first call whose arguments meet a condition."""
     real_function = getattr(os, name)
     has_failed = False
 
@@ -92,12 +92,12 @@
 
 
 def is_folder(descriptor):
-    """Whether a descriptor is that of a folder."""
+    """Return True if a descriptor is that of a folder."""
     return os.path.isdir(f'/proc/self/fd/{descriptor}')
 
 
 def failing_half_way():
-    """A patch by which the first write takes half, and the next finds no space."""
+    """Return a patch that makes the first write take half of the data, and the next fail with ENOSPC."""
     real_write = os.write
     calls = itertools.count(1)
 
@@ -125,21 +125,21 @@
     context.machine = RecordingMachine()
     context.host = host_of(context.machine, context.disk)
     context.logged = []
-    noting_log = {effects.Log: lambda log_host, effect: context.logged.append(effect.text)}
-    with FAILURES[failure_name](), mock.patch.dict(host.EFFECT_HANDLERS, noting_log):
+    recording_log = {effects.Log: lambda log_host, effect: context.logged.append(effect.text)}
+    with FAILURES[failure_name](), mock.patch.dict(host.EFFECT_HANDLERS, recording_log):
         context.host.feed('do', [effects.Write('term', term_file(2, 'x')), effects.Log('voted')])
 
 
-@behave.then('the write is told as failed, and what stood behind it is not done')
+@behave.then('the write is reported as failed, and the effects after it are not executed')
 def write_is_reported_as_failed(context):
-    assert len(context.machine.disk_faults) == 1, context.machine.disk_faults
+    assert len(context.machine.disk_errors) == 1, context.machine.disk_errors
     assert not context.logged, context.logged
 
 
 @behave.then('the folder still loads as term {term:d}')
 def folder_loads_as_term(context, term: int):
-    # Either is right after a failed sync of the folder: the name may or may not be on the disk, and nothing depends on
-    # it.
+    # After a failed sync of the folder either term is correct: the rename may or may not be on the disk, and nothing
+    # depends on it.
     assert term_in(context.folder) == term
 
 
@@ -148,21 +148,21 @@
     context.host.feed('do', [effects.Write('term', term_file(2, 'x'))])
 
 
-@behave.then('the folder loads as term 2, with nothing left aside')
-def folder_loads_as_term_2_without_rest(context):
+@behave.then('the folder loads as term 2, with no temporary files left')
+def folder_loads_as_term_2_without_temporary_files(context):
     names = sorted(os.listdir(context.folder))
     assert term_in(context.folder) == 2 and names == ['lock', 'term'], (term_in(context.folder), names)
 
 
-@behave.when('term 2 is written by a system that takes 3 bytes at a time')
-def term_2_is_written_in_small_pieces(context):
+@behave.when('term 2 is written while each system call takes at most 3 bytes')
+def term_2_is_written_in_short_writes(context):
     real_write = os.write
     with mock.patch.object(os, 'write', lambda descriptor, data: real_write(descriptor, data[:3])):
         context.disk.write('term', term_file(2, 'x'))
 
 
-def take_version(voter_host, voter, number):
-    """Let b publish the next version to a voter."""
+def accept_version(voter_host, voter, number):
+    """Send a voter the next version, as published by b."""
     rows = [['keys', f'k{number % 7}', {'value': 'x' * 50, 'rev': number}]]
     accepted = voter.replica.accepted
     frame = {'t': 'pub', 'v': 1, 'c': voter.cluster, 'f': 'b', 'a': '127.0.0.1:3', 'term': 1}
@@ -171,7 +171,7 @@
 
 
 def run_voter(folder, first_number):
-    """Start a voter on a folder, let it take versions with these numbers on, and write a snapshot."""
+    """Start a voter on a folder, let it accept versions from this number on, and write a snapshot."""
     voter_disk = disk.Disk(folder)
     voter = controller.Controller(LOCATION, settings.Settings(), random.Random(first_number), voter_disk.load())
     with mock.patch.object(os, 'fsync', lambda descriptor: None):
@@ -180,18 +180,18 @@
         voter_host.feed('start')
         if voter.is_empty():
             voter.formation.accept_first_version('c' * 32, [voter.node])
-        for number in range(first_number, first_number + VERSIONS_PER_LIFE):
-            take_version(voter_host, voter, number)
+        for number in range(first_number, first_number + VERSIONS_PER_START):
+            accept_version(voter_host, voter, number)
         voter.persistence.write_snapshot()
         voter_host.run([effect for effect in voter.out if isinstance(effect, effects.Write)])
     voter_disk.lock.close()
 
 
-@behave.given('a data folder that a voter wrote {count:d} checkpoints into, restarting after each')
+@behave.given('a data folder that a voter wrote {count:d} snapshots into, restarting after each')
 def folder_with_snapshots(context, count: int):
     context.folder = tempfile.mkdtemp(prefix='zt-edge-')
-    for life in range(count):
-        run_voter(context.folder, 1 + life * VERSIONS_PER_LIFE)
+    for start in range(count):
+        run_voter(context.folder, 1 + start * VERSIONS_PER_START)
 
 
 @behave.then('the folder holds no more than {most:d} files, and loads')
@@ -201,24 +201,27 @@
     assert storage.load(files).replica.accepted[1] > 1000
 
 
-@behave.when('a machine with a disk and one without break in a handler')
-def handlers_break(context):
+@behave.when('a handler raises in a machine with a disk and in one without')
+def handlers_raise(context):
     context.hosts = [host_of(RecordingMachine(), object()), host_of(RecordingMachine(), None)]
     for machine_host in context.hosts:
         machine_host.feed('break')
 
 
-@behave.then('the first has ended with code 70, and the second has not ended')
-def only_machine_with_disk_ends(context):
-    ends = [(machine_host.has_ended, machine_host.exit_code) for machine_host in context.hosts]
-    assert ends == [(True, 70), (False, 0)], ends
+@behave.then('the first has exited with code 70, and the second has not exited')
+def only_host_with_disk_exits(context):
+    exits = [(machine_host.has_ended, machine_host.exit_code) for machine_host in context.hosts]
+    assert exits == [(True, 70), (False, 0)], exits
 
 
 # -- a start while the disk refuses writes ----------------------------------------
 
 
 def refusing(error_number: int, has_lock_file: bool = True):
-    """A patch by which nothing can be opened for writing or written, but the lock file, where there is one."""
+    """Return patches that refuse to open files for writing, and to write.
+
+    The lock file can still be opened if there is one.
+    """
     real_open = os.open
 
     def refuse_open(path, flags, *rest, **options):
@@ -252,7 +255,7 @@
 
 
 def start_control_node(context) -> None:
-    """Start a control node on the folder, with a host whose time stands still."""
+    """Start a control node on the folder, with a host on a clock that does not advance."""
     context.disk = disk.Disk(context.folder)
     context.node = controller.Controller(LOCATION, settings.Settings(), random.Random(2), context.disk.load())
     context.host = host_of(context.node, context.disk)
@@ -262,7 +265,7 @@
     context.host.feed('start')
 
 
-@behave.when('a control node starts on it while {refusal}')
+@behave.when('a control node starts on the folder while {refusal}')
 def control_node_starts(context, refusal: str):
     identity: storage.NodeFile = {
         'id': 'before',
@@ -280,28 +283,28 @@
     start_control_node(context)
 
 
-@behave.then('it has the identity and the term that the folder holds, and says that its disk can not be written')
-def node_has_what_folder_holds(context):
+@behave.then('the node has the identity and the term from the folder, and logs that its disk can not be written')
+def node_has_state_of_folder(context):
     assert (context.node.node, context.node.term) == ('before', 1), (context.node.node, context.node.term)
     assert context.node.disk_failed and any('can not be written' in line for line in context.lines), context.lines
 
 
-@behave.when('the disk takes writes again, and a second goes by')
-def disk_takes_writes(context):
+@behave.when('the disk accepts writes again, and a second passes')
+def disk_accepts_writes(context):
     context.refusal.close()
     later = context.node.now + persistence.DISK_RETRY
     with mock.patch.object(context.host, 'now', lambda: later):
         context.host.feed('wake')
 
 
-@behave.then('it says that its disk can be written again, and the folder loads as before')
+@behave.then('the node logs that its disk can be written again, and the folder loads as before')
 def disk_is_written_again(context):
     assert not context.node.disk_failed and 'Disk can be written again.' in context.lines, context.lines
     after = context.disk.load()
     assert {name: after[name] for name in ('node', 'term')} == context.before, after
 
 
-@behave.when('a program starts on it while {refusal}')
+@behave.when('a program starts on the folder while {refusal}')
 def program_starts(context, refusal: str):
     if 'full disk' in refusal:
         context.disk.lock.close()
@@ -314,11 +317,11 @@
         try:
             disk.Disk(context.folder)
         except errors.DiskError as error:
-            context.fault = str(error)
+            context.error = str(error)
             return
-    raise AssertionError('it started')
+    raise AssertionError('the folder was accepted')
 
 
-@behave.then('it is told that the folder can not be used')
-def folder_fault_is_told(context):
-    assert 'can not be used' in context.fault, context.fault
+@behave.then('the program gets an error that the folder can not be used')
+def folder_error_is_reported(context):
+    assert 'can not be used' in context.error, context.error
--- a/features/steps/edge_peer_connections_steps.py
+++ b/features/steps/edge_peer_connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps of edge.feature: when a peer counts as lost, without a network."""
+"""Steps of edge.feature: when a peer is reported as lost, tested without a network."""
 
 import unittest.mock as mock
 
@@ -11,11 +11,11 @@
 
 PEER = '10.0.0.9:1'
 MAX_FRAME_BYTES = 1 << 20
-SECONDS_BETWEEN = 0.1
+STEP_S = 0.1
 
 
 class PeerEnd:
-    """Our end of the connections to one peer, over a reactor that keeps what it was asked for."""
+    """The local end of the connections to one peer, over a reactor that records the connections requested of it."""
 
     def __init__(self):
         self.reactor = testing.MemoryReactorClock()
@@ -25,27 +25,27 @@
         )
 
     def accept(self):
-        """Let a process at the peer's address connect and speak; its connection."""
-        self.reactor.advance(SECONDS_BETWEEN)
+        """Let a process at the peer's address connect and send a frame; return its connection."""
+        self.reactor.advance(STEP_S)
         connection = peer_connections.InboundConnection(self.connections)
         connection.makeConnection(silent_transport())
         connection.dataReceived(b'29:{"t":"find","a":"10.0.0.9:1"},')
         return connection
 
-    def send(self, is_answered):
-        """Send a frame, for which a connection is opened; its factory."""
-        self.reactor.advance(SECONDS_BETWEEN)
+    def send(self, is_accepted):
+        """Send a frame, for which a connection is opened; return the factory of the connection."""
+        self.reactor.advance(STEP_S)
         before = len(self.reactor.tcpClients)
         self.connections.send(PEER, {'t': 'chk'})
-        assert len(self.reactor.tcpClients) == before + 1, 'no new connection'
+        assert len(self.reactor.tcpClients) == before + 1, 'no connection was opened for the frame'
         factory = self.reactor.tcpClients[-1][2]
-        if is_answered:
+        if is_accepted:
             factory.buildProtocol(None).makeConnection(silent_transport())
         return factory
 
 
 def silent_transport():
-    """A transport that keeps what is written."""
+    """Return a transport that stores the bytes written to it."""
     transport = testing.StringTransport()
     transport.setTcpNoDelay = lambda is_on: None
     transport.getHandle = lambda: mock.Mock()
@@ -57,12 +57,12 @@
     connection.connectionLost(failure.Failure(error.ConnectionDone()))
 
 
-@behave.given('our end of the inner wire')
-def our_end_of_peer_connections(context):
+@behave.given('the local end of the connections to a peer')
+def local_end_of_peer_connections(context):
     context.end = PeerEnd()
 
 
-@behave.when('a process connects, and another one from its address before the first connection has ended')
+@behave.when('a process connects, and another one from the same address before the first connection has ended')
 def process_reconnects_early(context):
     context.inbound = [context.end.accept(), context.end.accept()]
 
@@ -77,55 +77,55 @@
     end(context.inbound[1])
 
 
-@behave.then('nobody is told as lost')
-def nobody_is_lost(context):
+@behave.then('no address is reported as lost')
+def no_address_is_lost(context):
     assert context.end.lost == [], context.end.lost
 
 
-@behave.then('that address is told as lost, once')
+@behave.then('that address is reported as lost, once')
 def address_is_lost_once(context):
     assert context.end.lost == [PEER], context.end.lost
 
 
-@behave.when('a frame is sent to an address where nobody answers yet')
-def frame_to_silent_address(context):
+@behave.when('a frame is sent to an address where no process accepts connections yet')
+def frame_to_refusing_address(context):
     context.outbound = context.end.send(False)
 
 
-@behave.when('a process from that address connects, and then the attempt fails')
+@behave.when('a process connects from that address, and then the connection attempt fails')
 def process_connects_and_attempt_fails(context):
     context.end.accept()
     context.outbound.clientConnectionFailed(None, failure.Failure(error.TimeoutError()))
 
 
-@behave.when('a frame is sent there again, and that attempt fails')
+@behave.when('a frame is sent to that address again, and the connection attempt fails')
 def second_attempt_fails(context):
     context.end.send(False).clientConnectionFailed(None, failure.Failure(error.TimeoutError()))
 
 
-@behave.when('a process connects and is sent a frame, and another one connects from its address')
+@behave.when('a process connects and is sent a frame, and another one connects from the same address')
 def process_replaces_connection(context):
     context.end.accept()
     context.outbound = context.end.send(True)
     context.end.accept()
 
 
-@behave.when('the connection to the first ends')
+@behave.when('the outbound connection to the first process ends')
 def outbound_connection_to_first_ends(context):
     context.outbound.clientConnectionLost(None, failure.Failure(error.ConnectionLost()))
 
 
-@behave.when('a frame is sent there again, and that connection ends')
+@behave.when('a frame is sent to that address again, and the connection ends')
 def second_outbound_connection_ends(context):
     context.end.send(True).clientConnectionLost(None, failure.Failure(error.ConnectionLost()))
 
 
-@behave.when('a frame is sent to an address that answers, and a process from there connects')
-def frame_to_answering_address(context):
+@behave.when('a frame is sent to an address that accepts connections, and a process connects from there')
+def frame_to_accepting_address(context):
     context.outbound = context.end.send(True)
     context.end.accept()
 
 
-@behave.when('the connection to it ends')
+@behave.when('the outbound connection to the process ends')
 def outbound_connection_ends(context):
     context.outbound.clientConnectionLost(None, failure.Failure(error.ConnectionLost()))
--- a/features/steps/fleet_command_steps.py
+++ b/features/steps/fleet_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps of fleet.feature: zinctrailctl and the programs' flags, on a real fleet."""
+"""Steps of fleet.feature: zinctrailctl and the flags of the programs, on a real fleet."""
 
 import contextlib
 import io
@@ -22,17 +22,17 @@
     'rules': {'r': {'pool': 'q', 'color': 1}},
     'wrong': 1,
 }
-FAULT_PATHS = ('$.wrong', '$.pools.p.service', '$.pools.p.selector', '$.rules.r.pool', '$.rules.r.color')
+ERROR_PATHS = ('$.wrong', '$.pools.p.service', '$.pools.p.selector', '$.rules.r.pool', '$.rules.r.color')
 
 
-@behave.then('zinctrailctl tells every fault of an invalid file and applies nothing')
+@behave.then('zinctrailctl reports every error of an invalid file and applies nothing')
 def invalid_configuration_is_refused(context):
     fleet = context.fleet
     before = fleet.call('GET', '/v1/config')[1]
     for verb in ('check', 'apply'):
         done = fleet_under_load.command(fleet, verb, '-', stdin=json.dumps(INVALID_CONFIGURATION))
         assert done.code == FAILED, done
-        for path in FAULT_PATHS:
+        for path in ERROR_PATHS:
             assert path + ':' in done.errors, (path, done.errors)
     assert fleet.call('GET', '/v1/config')[1] == before
     assert fleet_under_load.command(fleet, 'check', '-', stdin='{').code == FAILED
@@ -42,7 +42,7 @@
     assert stale.code == CONFLICT
 
 
-@behave.then('a process with wrong flags or an unusable folder ends with code 2 and says why')
+@behave.then('a process with wrong flags or an unusable folder exits with code 2 and reports the reason')
 def wrong_flags_are_refused(context):
     program = [sys.executable, '-m', 'zinctrail.cli.controller']
     location = ['--addr=127.0.0.1:1', '--http=127.0.0.1:2', '--cell=c', '--seeds=127.0.0.1:1']
@@ -73,7 +73,7 @@
     assert document.code == 0 and json.loads(document.output)['margins']['least_lease_ms'] > 0, document
 
 
-@behave.then('zinctrailctl waits until a change is in force, and no longer than it is told')
+@behave.then('zinctrailctl waits until a change is in force, and no longer than its limit')
 def command_waits(context):
     fleet = context.fleet
     changed = fleet_under_load.command(fleet, '--nowait', 'label', '127.0.0.1:1', 'a=b')
@@ -81,8 +81,8 @@
     version = changed.output.split()[1]
     assert fleet_under_load.command(fleet, '--within=20', 'wait', version).code == 0
     assert fleet_under_load.command(fleet, '--within=20', 'wait', 'members', str(len(fleet.processes))).code == 0
-    in_vain = fleet_under_load.command(fleet, '--within=0.3', 'wait', str(int(version) + 10**9))
-    assert in_vain.code == TIMED_OUT and 'timed out after' in in_vain.errors, in_vain
+    timed_out = fleet_under_load.command(fleet, '--within=0.3', 'wait', str(int(version) + 10**9))
+    assert timed_out.code == TIMED_OUT and 'timed out after' in timed_out.errors, timed_out
     endpoint = next(iter(fleet.endpoints))
     assert fleet_under_load.command(fleet, '--within=0.3', 'wait', 'drained', endpoint).code == TIMED_OUT
     assert fleet_under_load.command(fleet, '--within=1', 'wait', 'drained', '127.0.0.1:9').code == 0
@@ -92,9 +92,9 @@
 
 
 class SavedStatus:
-    """The session of a command that learned of the members before one of them was stopped.
+    """Stands in for the session of a command, with a status from before a member was stopped.
 
-    The command itself may take longer to start than the leader to remove a member that is silent.
+    Starting the command itself may take longer than the leader takes to remove a silent member.
     """
 
     options = types.SimpleNamespace(json=False)
@@ -103,13 +103,16 @@
         self.document = document
 
     def get(self, path: str) -> dict:
-        """The status as it was."""
+        """Return the saved status."""
         assert path == '/v1/status', path
         return self.document
 
 
 def lag_while_stopped(fleet, proxy) -> str:
-    """What zinctrailctl lag prints while a proxy is stopped, which answers nobody then; it is a member again after."""
+    """Return the output of zinctrailctl lag while a proxy is stopped and so does not respond.
+
+    Resumes the proxy and waits until it is a member again.
+    """
     status, document = blocking_client.try_call(fleet_under_load.leader(fleet).http, 'GET', '/v1/status')
     assert status == 200 and proxy.http in json.dumps(document), (status, document)
     proxy.signal(signal.SIGSTOP)
@@ -120,12 +123,12 @@
         proxy.signal(signal.SIGCONT)
     fleet.until(
         lambda: fleet_under_load.command(fleet, '--within=10', 'wait', 'members', str(len(fleet.processes))).code == 0,
-        'the stopped one back',
+        f'{proxy.name} to be a member again',
     )
     return printed.getvalue()
 
 
-@behave.then('zinctrailctl lag asks every member itself, and zinctrailctl duties tells who holds which')
+@behave.then('zinctrailctl lag queries every member itself, and zinctrailctl duties shows the holder of each role')
 def lag_and_roles_are_shown(context):
     fleet = context.fleet
     lag = fleet_under_load.command(fleet, '--json', 'lag')
--- a/features/steps/fleet_faults_steps.py
+++ b/features/steps/fleet_faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps of ill.feature: clocks of a real fleet jump, links are cut and processes freeze."""
+"""Steps of ill.feature: clock jumps, partitions and frozen processes in a real fleet."""
 
 import signal
 
@@ -11,11 +11,11 @@
 ENDPOINT_ADDRESS = '127.0.0.1:1'
 
 
-@behave.when("every process's wall clock jumps {how}")
-def wall_clocks_jump(context, how: str):
+@behave.when("every process's wall clock jumps {direction}")
+def wall_clocks_jump(context, direction: str):
     for process in context.fleet.processes.values():
-        process.set_faults(wall_s=-CLOCK_JUMP_S if how.startswith('back') else CLOCK_JUMP_S)
-    # Each line of a log carries the wall clock, so that a jump that did not reach a process would show.
+        process.set_faults(wall_s=-CLOCK_JUMP_S if direction.startswith('back') else CLOCK_JUMP_S)
+    # Each log line carries the wall clock, so that a jump that did not reach a process would show in its log.
     fleet_under_load.state(context.fleet)
 
 
@@ -24,7 +24,7 @@
     fleet = context.fleet
 
     def change():
-        # At directories, because the partitioned control node would be asked first and has no result to give.
+        # Called at directories, because the partitioned control node would be called first and has no result.
         status, document = fleet.call('GET', '/v1/config', role='dir')
         if status != 200:
             return False
@@ -36,47 +36,47 @@
     fleet.until(change, 'a change to be in force')
 
 
-def cut_off(context, process, others):
-    """Lose all frames between a process and others."""
-    context.cut = [process, *others]
+def partition(context, process, others):
+    """Drop all frames between a process and others."""
+    context.partitioned = [process, *others]
     process.set_faults(cut=others)
     for other in others:
         other.set_faults(cut=[process])
 
 
-def note_leader(context):
-    """Keep the leader, which is about to be missed, and the configuration."""
+def record_leader(context):
+    """Store the current leader, which is about to be cut off or frozen, and the configuration."""
     context.stopped = fleet_under_load.leader(context.fleet)
     context.configuration = context.fleet.call('GET', '/v1/config')[1]
 
 
 def wait_for_another_leader(context):
-    """Wait until another process leads."""
+    """Wait until another process is the leader."""
     fleet, old = context.fleet, context.stopped
-    fleet.until(lambda: (fleet.leader() or old) is not old, 'another master')
+    fleet.until(lambda: (fleet.leader() or old) is not old, 'another leader')
 
 
-@behave.when('the master is cut from the other control nodes')
-def leader_is_cut_off(context):
-    note_leader(context)
+@behave.when('the leader is partitioned from the other control nodes')
+def leader_is_partitioned(context):
+    record_leader(context)
     followers = [process for process in context.fleet.of('core') if process is not context.stopped]
-    cut_off(context, context.stopped, followers)
+    partition(context, context.stopped, followers)
     wait_for_another_leader(context)
 
 
-@behave.when('a proxy is cut from our own processes')
-def proxy_is_cut_off(context):
+@behave.when('a proxy is partitioned from all other processes of the fleet')
+def proxy_is_partitioned(context):
     proxy = context.fleet.of('prox')[0]
-    cut_off(context, proxy, [process for process in context.fleet.processes.values() if process is not proxy])
+    partition(context, proxy, [process for process in context.fleet.processes.values() if process is not proxy])
 
 
-@behave.when('the cut is mended')
-def cut_is_healed(context):
-    for process in context.cut:
+@behave.when('the partition is healed')
+def partition_is_healed(context):
+    for process in context.partitioned:
         process.set_faults()
 
 
-@behave.then('all are members again, under one master')
+@behave.then('all are members again, under one leader')
 def all_are_members(context):
     fleet = context.fleet
 
@@ -92,22 +92,22 @@
             and {view['master']['id'] for view in views} == {state['id']}
         )
 
-    fleet.until(have_one_leader, 'one master for all', fleet_under_load.LONG_WAIT_S)
+    fleet.until(have_one_leader, 'one leader known to all', fleet_under_load.LONG_WAIT_S)
 
 
-@behave.when('the master is frozen')
+@behave.when('the leader is frozen')
 def leader_is_frozen(context):
-    note_leader(context)
+    record_leader(context)
     context.stopped.signal(signal.SIGSTOP)
     wait_for_another_leader(context)
 
 
-@behave.when('the frozen one wakes')
-def frozen_process_wakes(context):
+@behave.when('the frozen process resumes')
+def frozen_process_resumes(context):
     context.stopped.signal(signal.SIGCONT)
 
 
-@behave.then('it is not ready, and drops requests as not run with others to ask')
+@behave.then('it is not ready, and refuses requests as not run with the addresses of other proxies')
 def proxy_refuses_requests(context):
     fleet = context.fleet
     proxy, other_proxy = fleet.of('prox')[:2]
--- a/features/steps/fleet_ports_steps.py
+++ b/features/steps/fleet_ports_steps.py
@@ -6,12 +6,12 @@
 
 import zinctrail.fleet.processes as processes
 
-# Where Linux tells the least and the greatest port that it gives to outgoing connections.
+# The range of ports that Linux uses for outgoing connections.
 OUTGOING_PORTS_FILE = '/proc/sys/net/ipv4/ip_local_port_range'
 
 
 def port_of(address: str) -> int:
-    """The port of an IP:PORT."""
+    """Return the port of an IP:PORT."""
     return int(address.rpartition(':')[2])
 
 
@@ -31,7 +31,7 @@
     assert not [port for port in ports if least <= port <= greatest], sorted(ports)
 
 
-@behave.then('nobody else gets one of them before it is released')
+@behave.then('no other process can use one of them before it is released')
 def ports_are_reserved(context):
     for address in context.addresses:
         with socket.socket() as other:
@@ -41,4 +41,4 @@
                 other.bind((processes.HOST, port_of(address)))
             except OSError:
                 continue
-            raise AssertionError(f'{address} was given to another')
+            raise AssertionError(f'{address} could be bound by another socket')
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -95,7 +95,7 @@
 @behave.then('requests are served')
 def requests_are_served(context):
     tally = context.deployment.tally()
-    assert tally.get('ran', 0) > small_world.LEAST_REQUESTS, tally
+    assert tally.get('ran', 0) > small_world.MIN_REQUESTS, tally
 
 
 @behave.then('requests find no proxy')
--- a/features/steps/ops_logs_steps.py
+++ b/features/steps/ops_logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps of ops.feature: log lines, and elections and requests followed through them."""
+"""Steps of ops.feature: log lines, and traces of elections and requests read from them."""
 
 import logging
 import random
@@ -17,7 +17,7 @@
 import zinctrail.simulation.world as world
 
 ms = durations.ms
-STAMP = 'I1202 03:21:20.123456 1234 host.py:189] '
+LOG_PREFIX = 'I1202 03:21:20.123456 1234 host.py:189] '
 
 LINES = {
     'plain fields': ('core: Leads term 5.', {'event': 'lead', 'term': 5, 'by': '10.0.0.1:7000'}),
@@ -29,52 +29,52 @@
     ),
     'a bar in the sentence': ('core: a | b=c', {'event': 'e', 'k': 'v'}),
 }
-AS_READ = {
+PARSED_FIELDS = {
     'lists and truths': {'event': 'e', 'votes': 'a,b', 'one': 'c', 'none': '', 'set': 'x,y', 'yes': 'yes', 'no': 'no'}
 }
 
 
-@behave.when('a line with {line_name} is written in the form {form}')
+@behave.when('a log line with {line_name} is written in the {form} format')
 def line_is_written(context, line_name: str, form: str):
     text, fields = LINES[line_name]
     record = logging.LogRecord('absl', logging.INFO, 'host.py', 1, '%s', (text,), None)
     record.fields = fields
-    stamping = types.SimpleNamespace(format=lambda stamped: STAMP + stamped.getMessage())
+    stamping = types.SimpleNamespace(format=lambda stamped: LOG_PREFIX + stamped.getMessage())
     context.line = logs.LineFormatter(form, stamping).format(record)
-    expected_fields = {name: str(value) for name, value in AS_READ.get(line_name, fields).items()}
+    expected_fields = {name: str(value) for name, value in PARSED_FIELDS.get(line_name, fields).items()}
     context.expected = {'text': text, **expected_fields}
 
 
-@behave.then('its text and fields are read back')
+@behave.then('the text and fields of the line are read back')
 def line_is_read_back(context):
-    # With words before it, because a collector of logs may add whose line it is.
+    # Also with a prefix, because a log collector may prepend the name of the process.
     for line in (context.line, context.line + '\n', f'  38.0693 edge-1 {context.line}'):
         record = logs.parse(line)
         assert record and record.pop('at') and record.pop('level') == 'info', (line, record)
         assert record == context.expected, (line, record)
 
 
-STRANGE_LINES = {
+FOREIGN_LINES = {
     'nothing': '',
     'a sentence of another program': 'Dec  2 03:21:20 host kernel: all is well',
     'JSON of another program': '{"at": "2026-12-02T03:21:20Z", "text": 7}',
     'JSON cut short': '{"at": "2026-12-02T03:21:20Z", "te',
     'JSON nested very deeply': '{"at": ' + '[' * 100000,
-    'a field whose text is cut short': STAMP + 'x | event=e why="\\q"',
+    'a field whose text is cut short': LOG_PREFIX + 'x | event=e why="\\q"',
 }
 
 
-@behave.when('{line_name} is read as a line')
-def strange_line_is_read(context, line_name: str):
-    context.record = logs.parse(STRANGE_LINES[line_name])
+@behave.when('{line_name} is parsed as a log line')
+def foreign_line_is_parsed(context, line_name: str):
+    context.record = logs.parse(FOREIGN_LINES[line_name])
 
 
-@behave.then('nothing is read')
-def nothing_is_read(context):
+@behave.then('no record is returned')
+def no_record_is_returned(context):
     assert context.record is None, context.record
 
 
-@behave.given('a simulated world whose master is killed, its lines kept')
+@behave.given('a simulated world whose leader is killed, with the log lines of its nodes')
 def world_with_killed_leader(context):
     simulated = context.world = start_world(0.0)
     context.first_leader = simulated.leader()
@@ -89,7 +89,7 @@
 
 
 def start_world(sampled_share):
-    """Three control nodes and a proxy that samples a share of its requests, once all have a lease."""
+    """Start three control nodes and a proxy that sample a share of requests, and wait until all have a lease."""
     simulated = world.World(1)
     for index in range(3):
         simulated.add(f'core{index}', 'core', f'r{index}/c0')
@@ -104,24 +104,24 @@
 
 
 def lines_of(simulated):
-    """The log lines of all nodes, in no order."""
+    """Return the log lines of all nodes in random order."""
     lines = []
     for node in simulated.nodes.values():
         for time, text, fields in node.log_records:
-            told = {**fields, 'by': node.location.addr} if fields else {}
-            lines.append(logs.json_line(time.total_seconds(), 'info', text, told))
+            all_fields = {**fields, 'by': node.location.addr} if fields else {}
+            lines.append(logs.json_line(time.total_seconds(), 'info', text, all_fields))
     random.Random(1).shuffle(lines)
     return lines
 
 
-@behave.when('its lines are followed for elections')
-def elections_are_followed(context):
+@behave.when('its log lines are searched for elections')
+def elections_are_searched(context):
     context.records = log_trace.parse_records(lines_of(context.world))
     context.election_lines = log_trace.election_lines(context.records)
 
 
-@behave.then('each term tells who stood and why, who led with whose votes, and who followed')
-def elections_are_told(context):
+@behave.then('each term shows the candidates with their reasons, the leader with its voters, and the followers')
+def elections_are_shown(context):
     text = '\n'.join(context.election_lines)
     assert re.search(rf'{context.first_leader.location.addr}  leads, with the votes of ', text), text
     leader = context.world.leader()
@@ -136,12 +136,12 @@
     assert 'followed by 2,' in last, last
 
 
-@behave.then('a term that never was tells nothing')
+@behave.then('a term without an election shows nothing')
 def unknown_term_is_empty(context):
     assert log_trace.election_lines(context.records, 9999) == []
 
 
-@behave.given('a simulated world that traces every request')
+@behave.given('a simulated world that samples every request')
 def world_that_samples_requests(context):
     context.world = world.World(1)
     context.deployment = client_deployment.Deployment(
@@ -152,7 +152,7 @@
         node.machine.request_sampler = request_sampling.RequestSampler(1.0)
 
 
-@behave.when('a run-once request runs in it')
+@behave.when('a non-idempotent request is executed in it')
 def at_most_once_request_runs(context):
     caller = caller_actor.Caller(context.deployment, 'caller', context.deployment.cells[0], ['loans'], 1)
     results = []
@@ -161,7 +161,7 @@
     context.result = results[0]
 
 
-@behave.then('following its id tells the claim at the master, and its end at the proxy with the endpoint')
+@behave.then('the trace of its id shows the claim at the leader, and its outcome at the proxy with the endpoint')
 def request_is_traced(context):
     records = log_trace.parse_records(lines_of(context.world))
     lines = log_trace.request_lines(records, context.result.id)
--- a/features/steps/ops_process_steps.py
+++ b/features/steps/ops_process_steps.py
@@ -12,12 +12,12 @@
 import features.support.repository as repository
 import zinctrail.runtime.logs as logs
 
-# What Twisted logs of its daily work.
+# Words in the routine log messages of Twisted.
 TWISTED_WORDS = ('starting', 'Starting', 'Timing out', 'Main loop')
 
 
 def proxy_command(port, *flags):
-    """The command line of a proxy at a port, with its HTTP at the next one."""
+    """Return the command line of a proxy at a port, with its HTTP API at the next port."""
     return [
         sys.executable,
         '-m',
@@ -30,7 +30,7 @@
     ]
 
 
-@behave.when('a proxy runs with {flags}, is scraped, and stopped')
+@behave.when('a proxy runs with {flags}, its metrics are scraped, and it is stopped')
 def proxy_runs_and_is_scraped(context, flags: str):
     port = local_process.free_ports(2)
     command = proxy_command(port, *([] if flags == 'no flags' else [flags]))
@@ -46,7 +46,7 @@
     timer.cancel()
 
 
-@behave.then('it ends with code 0, and each of its lines is one of ours in the form {form}')
+@behave.then('it exits with code 0, and each of its lines is a zinctrail log line in the {form} format')
 def proxy_logs_in_form(context, form: str):
     assert context.code == 0, context.lines
     records = [logs.parse(line) for line in context.lines]
@@ -58,13 +58,13 @@
     assert first['by'].startswith('127.0.0.1:'), first
 
 
-@behave.then('what twisted tells of its daily work is not among them')
+@behave.then('the routine messages of Twisted are not among them')
 def twisted_logs_are_absent(context):
     assert not any(word in line for line in context.lines for word in TWISTED_WORDS), context.lines
 
 
-@behave.then('the scrape has its lease, memory and descriptors')
-def scrape_has_process_measures(context):
+@behave.then('the scrape has the metrics of its lease, memory and file descriptors')
+def scrape_has_process_metrics(context):
     values = metrics_text.parse(context.metrics)
     assert context.content_type.startswith('text/plain'), context.content_type
     assert values['lease_seconds'] == 0, values
@@ -80,12 +80,12 @@
     )
 
 
-@behave.then('it has ended with code 2 and named {name}')
+@behave.then('it has exited with code 2 and named {name}')
 def proxy_refuses_flag(context, name: str):
     assert context.done.returncode == 2 and name in context.done.stderr, context.done
 
 
-@behave.then("a proxy's program comes up without it")
+@behave.then("a proxy's program starts without loading it")
 def proxy_runs_without_exposition(context):
     program = (
         'import sys, zinctrail.cli.proxy, zinctrail.cli.controller, zinctrail.transport.host;'
--- a/features/steps/ops_restart_steps.py
+++ b/features/steps/ops_restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps of ops.feature: many processes that start again at once, and what a node lacks of the newest state."""
+"""Steps of ops.feature: many processes that restart at once, and the differences of a node from the newest state."""
 
 import behave
 
@@ -20,19 +20,19 @@
 
 
 def log_lengths(simulated):
-    """How many records each node has logged by now."""
+    """Return the number of log records of each node."""
     return {node.name: len(node.log_records) for node in simulated.nodes.values()}
 
 
 def events_since(node, length, event):
-    """The fields of the records of an event that a node logged since it had so many records."""
+    """Return the fields of the records of an event that a node logged after its first `length` records."""
     return [fields for _, _, fields in node.log_records[length:] if fields.get('event') == event]
 
 
 @behave.given('a simulated world of {cores:d} cores and {proxies:d} proxies')
 def world_of_cores_and_proxies(context, cores: int, proxies: int):
     simulated = context.world = world.World(3)
-    # Far apart, because several versions are in flight at once only where each takes longer than the time to the next.
+    # Long delays, because several versions are in flight at once only if each takes longer than the time to the next.
     simulated.extra_delay = ms(35)
     for index in range(cores):
         simulated.add(f'core{index}', 'core', f'r{index}/c0')
@@ -56,7 +56,7 @@
     simulated.run(ms(1000))
 
 
-@behave.then('each is told of as here once, and nobody is sent the whole state twice')
+@behave.then('each is logged as a new member once, and no node is sent the full state twice')
 def members_are_announced_once(context):
     simulated = context.world
     proxies = simulated.of('prox')
@@ -70,7 +70,7 @@
     assert full_states <= len(proxies), full_states
 
 
-@behave.then('between two states the items, settings and cells that differ are named with their versions')
+@behave.then('the differences between two states name the items with their versions, the settings and the zones')
 def differences_name_versions(context):
     newest = {
         'items': {
@@ -111,7 +111,7 @@
 
 @behave.when('all of them are killed and start again within {most:d} ms')
 def all_control_nodes_restart_together(context, most: int):
-    # Of each world: how long it had no leader, and the terms that any node stood for.
+    # For each world: the time without a leader, and the terms in which any node was a candidate.
     context.election_times = []
     context.terms = []
     for simulated in context.worlds:
@@ -119,7 +119,7 @@
 
 
 def restart_all(context, simulated, most):
-    """Kill all nodes of a world, start each again within so many ms, and note what its election took."""
+    """Kill all nodes of a world, start each again within `most` ms, and record the time and terms of its election."""
     nodes = simulated.nodes.values()
     for node in nodes:
         node.kill()
@@ -135,7 +135,7 @@
     )
 
 
-@behave.then('in each there is a master within {most:d} ms, and in {least:d} or more the first term decides')
+@behave.then('each world has a leader within {most:d} ms, and in {least:d} or more the first term decides')
 def first_term_decides(context, most: int, least: int):
     assert max(context.election_times) <= ms(most), sorted(context.election_times)
     assert sum(len(terms) == 1 for terms in context.terms) >= least, context.terms
--- a/features/steps/replay_steps.py
+++ b/features/steps/replay_steps.py
@@ -13,7 +13,7 @@
 
 
 def run_replay(*arguments, stdin=None):
-    """(exit status, standard output, standard error) of zinctrail-replay."""
+    """Run zinctrail-replay; return (exit status, standard output, standard error)."""
     process = subprocess.run(
         [sys.executable, '-m', 'zinctrail.cli.replay', *arguments],
         input=stdin,
@@ -23,50 +23,50 @@
     return process.returncode, process.stdout, process.stderr
 
 
-@behave.given('a day whose third line is {line}')
+@behave.given('a recorded day whose third line is {line}')
 def day_with_line(context, line: str):
     context.lines = [HEADER, REQUEST, line, REQUEST]
 
 
-@behave.given('a day without its header')
+@behave.given('a recorded day without its header')
 def day_without_header(context):
     context.lines = [REQUEST, REQUEST]
 
 
-@behave.when('it is read')
+@behave.when('the recorded day is read')
 def read_day(context):
-    context.fault = None
+    context.error = None
     try:
         recorded_day.read(context.lines)
-    except recorded_day.RecordedDayError as fault:
-        context.fault = fault
+    except recorded_day.RecordedDayError as error:
+        context.error = error
 
 
-@behave.then('line {number:d} is at fault, and says {reason}')
-def line_is_at_fault(context, number: int, reason: str):
-    assert context.fault is not None and context.fault.line_number == number, context.fault
-    assert reason in str(context.fault), context.fault
+@behave.then('the error names line {number:d}, and says {reason}')
+def error_names_line(context, number: int, reason: str):
+    assert context.error is not None and context.error.line_number == number, context.error
+    assert reason in str(context.error), context.error
 
 
-@behave.when('it is read, skipping')
+@behave.when('the recorded day is read, skipping invalid lines')
 def read_day_skipping(context):
     _, context.events, context.skipped = recorded_day.read(context.lines, skip=True)
 
 
-@behave.then('{count:d} line was skipped and the rest is there')
+@behave.then('{count:d} line was skipped and the other events are read')
 def lines_skipped(context, count: int):
     assert len(context.skipped) == count and context.skipped[0][0] == 3 and len(context.events) == 2
 
 
-@behave.then('reading it is refused at line 1, even when skipping')
-def refused_at_first_line(context):
+@behave.then('reading it fails at line 1, even when skipping invalid lines')
+def reading_fails_at_first_line(context):
     for skip in (False, True):
         try:
             recorded_day.read(context.lines, skip)
-        except recorded_day.RecordedDayError as fault:
-            assert fault.line_number == 1
+        except recorded_day.RecordedDayError as error:
+            assert error.line_number == 1
         else:
-            raise AssertionError('it was read')
+            raise AssertionError(f'the recorded day was read, with skip={skip}')
 
 
 @behave.given('generated days of small, accra and ukks')
@@ -74,7 +74,7 @@
     context.days = [(shape, recorded_day.generate(shape, 3, 20)) for shape in ('small', 'accra', 'ukks')]
 
 
-@behave.then('each is read back as it was made, and the same seed makes the same day')
+@behave.then('each is read back unchanged, and the same seed generates the same day')
 def days_are_reproducible(context):
     for shape, (header, events) in context.days:
         assert recorded_day.read(list(recorded_day.write(header, events))) == (header, events, [])
@@ -91,7 +91,7 @@
     context.result = run_replay('sim', '-', '--seed=2', stdin=day)
 
 
-@behave.then('it ends with code 0, outcomes, waits and no verdicts')
+@behave.then('it exits with code 0 and prints outcomes, waits and no verdicts')
 def replay_is_clean(context):
     status, output, errors = context.result
     report = json.loads(output)
@@ -104,7 +104,7 @@
     context.result = run_replay('sim', '-', stdin=HEADER + '\n{"at_ms": 1}\n')
 
 
-@behave.then('it ends with code 2 and names the line')
+@behave.then('it exits with code 2 and names the line')
 def replay_names_line(context):
     status, output, errors = context.result
     assert status == 2 and 'line 2' in errors and not output, context.result
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -22,7 +22,7 @@
 
 
 def write_file(context):
-    """Write the settings file aside and rename it, because the process may read at any moment."""
+    """Write the settings to a new file and rename it, because the process may read the file at any time."""
     with open(context.name + '.new', 'w') as file:
         json.dump(context.document, file)
     os.rename(context.name + '.new', context.name)
@@ -60,11 +60,11 @@
 
 
 def line_with(context, text):
-    """The next line of the log that holds a text."""
+    """Return the next log line that contains a text."""
     for line in context.process.stderr:
         if text in line:
             return line
-    raise AssertionError(f'ended with {context.process.wait()} before it told of {text}')
+    raise AssertionError(f'the process exited with {context.process.wait()} before it logged {text!r}')
 
 
 @behave.when('the file names other seeds and the process gets SIGHUP')
@@ -74,14 +74,14 @@
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.when('the file is written over with half a document and the process gets SIGHUP')
+@behave.when('the file is overwritten with half a document and the process gets SIGHUP')
 def file_is_cut_short(context):
     with open(context.name, 'w') as file:
         file.write('{"seed_nodes": [')
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.when('the file names a longer answer and nobody tells the process')
+@behave.when('the file names a longer answer and the process gets no signal')
 def file_changes_without_signal(context):
     context.document['bounds']['ttl_max_s'] = 2
     write_file(context)
@@ -94,19 +94,19 @@
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.then('it tells that {names} changed, and runs on')
+@behave.then('it logs that {names} changed, and keeps running')
 def change_is_logged(context, names: str):
     assert names in line_with(context, 'Settings read anew; changed: ')
     assert context.process.poll() is None
 
 
-@behave.then('it tells that it goes on with those it has, and runs on')
-def old_settings_are_kept(context):
+@behave.then('it logs that it keeps its current settings, and keeps running')
+def current_settings_are_kept(context):
     line_with(context, 'new settings are invalid, keeping the current settings')
     assert context.process.poll() is None
 
 
-@behave.then('it tells that the next start takes lease, and runs on')
+@behave.then('it logs that lease takes effect at the next start, and keeps running')
 def lease_waits_for_next_start(context):
     line = line_with(context, 'from the next start: ')
     assert 'lease' in line and 'changed: nothing' in line, line
@@ -126,7 +126,7 @@
 CHANGES = {
     'other seeds': (['127.0.0.1:8'], {}),
     'an answer of 1000 ms': (['127.0.0.1:7'], {'answer': ms(1000)}),
-    'a share of repeats above bound': (['127.0.0.1:8'], {'repeat_share': 0.5}),
+    'a repeat_share above its bound': (['127.0.0.1:8'], {'repeat_share': 0.5}),
 }
 
 
@@ -143,17 +143,17 @@
     context.probed = {effect.address for effect in outputs if isinstance(effect, effects.Send)}
 
 
-@behave.then('it asks the new seeds')
-def new_seeds_are_asked(context):
+@behave.then('it contacts the new seeds')
+def new_seeds_are_contacted(context):
     assert context.probed == {'127.0.0.1:8'}, context.probed
 
 
-@behave.then('it answers for 1000 ms, and seeds stay')
+@behave.then('it takes the new answer, and keeps its seeds')
 def answer_time_is_new(context):
     assert context.machine.settings.answer == ms(1000) and context.probed == {'127.0.0.1:7'}
 
 
-@behave.then('it goes on as before')
+@behave.then('it keeps its settings')
 def settings_are_unchanged(context):
     assert (
         context.probed == {'127.0.0.1:7'} and context.machine.settings.repeat_share == settings.Settings().repeat_share
--- a/features/support/command_line.py
+++ b/features/support/command_line.py
@@ -1,4 +1,4 @@
-"""zinctrailctl as operators run it."""
+"""Runs zinctrailctl as operators do."""
 
 import collections.abc
 import subprocess
@@ -11,7 +11,7 @@
 
 
 class CommandResult(typing.NamedTuple):
-    """What zinctrailctl ended with, and what it wrote."""
+    """The exit status of zinctrailctl, and its output."""
 
     code: int
     output: str
@@ -19,7 +19,7 @@
 
 
 def run(addresses: collections.abc.Iterable[str], *arguments: str, stdin: str | None = None) -> CommandResult:
-    """Run zinctrailctl, given the addresses of nodes that it may ask."""
+    """Run zinctrailctl with the addresses of nodes that it may call."""
     done = subprocess.run(
         [sys.executable, '-m', 'zinctrail.cli.ctl', f'--at={",".join(addresses)}', *arguments],
         cwd=repository.ROOT,
--- a/features/support/fleet_under_load.py
+++ b/features/support/fleet_under_load.py
@@ -13,18 +13,18 @@
 import zinctrail.fleet.processes as processes
 import zinctrail.transport.blocking_client as blocking_client
 
-# How long many requests, or all processes, may need; generous, as it only guards against hanging.
+# Limit for many requests or all processes; generous, because it only guards against hanging.
 LONG_WAIT_S = 120
 RAW_TIMEOUT_S = 30
 
 
 def start(context, injects_faults: bool) -> None:
-    """Start a fleet, and wait until all endpoints are known and all control nodes vote.
+    """Start a fleet, and wait until all endpoints are known and all control nodes are voters.
 
-    One that can be made ill has processes whose links can be cut and whose clocks can be set.
+    With `injects_faults`, links between its processes can be cut and their clocks can be set.
     """
     folder = tempfile.mkdtemp(prefix='zt-fleet-')
-    # Kept before anything is started, so that whatever runs is stopped at the scenario's end.
+    # Stored before anything is started, so that every process is stopped at the end of the scenario.
     fleet = context.fleet = processes.Fleet(
         deployments.PRESETS['small'], folder, reactor, injects_faults=injects_faults
     )
@@ -37,13 +37,13 @@
     # quorum.
     fleet.until(
         lambda: all(len(voters) == fleet.shape['cores'] for voters in state(fleet)['voters'].values()),
-        'all cores to vote',
+        'all control nodes to become voters',
     )
     reactor_thread.call(lambda: fleet.start_callers(random.Random(2)) and None)
 
 
 def state(fleet: processes.Fleet) -> dict[str, typing.Any]:
-    """The state that the leader tells, once one does."""
+    """Wait for a status, and return the state that the leader reports."""
 
     def read():
         status, document = fleet.call('GET', '/v1/status')
@@ -53,24 +53,24 @@
 
 
 def leader(fleet: processes.Fleet) -> processes.FleetProcess:
-    """The process that leads, once one does."""
-    found = fleet.until(fleet.leader, 'a master')
+    """Wait for a leader, and return its process."""
+    found = fleet.until(fleet.leader, 'a leader')
     assert found is not None
     return found
 
 
 def configuration(fleet: processes.Fleet) -> dict[str, typing.Any]:
-    """The configuration and its version, as first read by a call that succeeds."""
+    """Return the configuration and its version from the first call that succeeds."""
 
     def read():
         status, document = fleet.call('GET', '/v1/config')
         return document if status == 200 else None
 
-    return fleet.until(read, 'a read-back')
+    return fleet.until(read, 'the configuration')
 
 
 def next_outcomes(fleet: processes.Fleet, count: int) -> dict[str, int]:
-    """Wait for so many more outcomes of requests; how many of each kind came."""
+    """Wait for `count` more outcomes of requests; return how many of each kind arrived."""
     before = dict(fleet.counts)
     target = sum(before.values()) + count
     fleet.until(lambda: sum(fleet.counts.values()) >= target, f'{count} outcomes', LONG_WAIT_S)
@@ -78,21 +78,21 @@
 
 
 def command(fleet: processes.Fleet, *arguments: str, stdin: str | None = None) -> command_line.CommandResult:
-    """Run zinctrailctl, given all directories and control nodes."""
+    """Run zinctrailctl with the addresses of all directories and control nodes."""
     addresses = [process.http for process in fleet.of('dir') + fleet.of('core')]
     return command_line.run(addresses, *arguments, stdin=stdin)
 
 
 def send_raw(address: str, data: bytes) -> bytes:
-    """What comes back for raw bytes, until the other side closes or answers."""
+    """Send raw bytes, and return the bytes received until the peer closes or responds."""
     return http_calls.exchange_bytes(address, data, timeout_s=RAW_TIMEOUT_S)
 
 
 def status_line(response: bytes) -> bytes:
-    """The first line of a response."""
+    """Return the first line of a response."""
     return response.split(b'\r\n')[0]
 
 
 def is_ready(process: processes.FleetProcess) -> bool:
-    """Whether a process says that it is ready."""
+    """Return True if a process reports that it is ready."""
     return blocking_client.try_call(process.http, 'GET', '/v1/ready')[0] == 200
--- a/features/support/http_calls.py
+++ b/features/support/http_calls.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP and raw bytes, each on a connection of its own."""
+"""HTTP calls and exchanges of raw bytes, each over its own connection."""
 
 import collections.abc
 import http.client
@@ -16,7 +16,7 @@
         self.status = status
         self.headers = headers
         self.body = body
-        # The id of the attempt that it answers, where the caller notes it.
+        # The id of the request attempt, if the caller sets it.
         self.attempt_id = ''
 
     @property
@@ -41,7 +41,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 20,
 ) -> Response:
-    """One call with a JSON document or raw bytes; raises OSError and http.client.HTTPException."""
+    """Make one call with a JSON document or raw bytes; raises OSError and http.client.HTTPException."""
     host, _, port = address.rpartition(':')
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
@@ -55,7 +55,7 @@
 
 
 def exchange_bytes(address: str, data: bytes, timeout_s: float = 10, end_of_input: bool = True) -> bytes:
-    """What comes back for raw bytes, until the other side closes or nothing more comes."""
+    """Send raw bytes, and return the bytes received until the peer closes or the timeout."""
     host, _, port = address.rpartition(':')
     with socket.create_connection((host, int(port)), timeout=timeout_s) as connection:
         received = b''
@@ -66,13 +66,13 @@
             while chunk := connection.recv(RECEIVE_BYTES):
                 received += chunk
         except OSError:
-            # The other side may close on what it can not use before everything is sent.
+            # The peer may close on invalid input before everything is sent.
             pass
         return received
 
 
 def parse_response(data: bytes) -> tuple[Response, bytes]:
-    """The first response in raw bytes, and the bytes that follow it."""
+    """Return (the first response in raw bytes, the bytes after it)."""
     head, _, rest = data.partition(b'\r\n\r\n')
     status_line, *lines = head.decode('latin-1').split('\r\n')
     headers = {name.strip().lower(): value.strip() for name, _, value in (line.partition(':') for line in lines)}
@@ -91,7 +91,7 @@
     headers: collections.abc.Iterable = (),
     timeout_s: float = 10,
 ) -> Response:
-    """One attempt of a client at a proxy's front; raises ConnectionLostError."""
+    """Send one attempt of a request to the ingress of a proxy; raises ConnectionLostError."""
     try:
         return call(
             ingress,
@@ -106,5 +106,5 @@
                 **dict(headers),
             },
         )
-    except (OSError, http.client.HTTPException) as fault:
-        raise ConnectionLostError(f'{type(fault).__name__}: {fault}') from fault
+    except (OSError, http.client.HTTPException) as error:
+        raise ConnectionLostError(f'{type(error).__name__}: {error}') from error
--- a/features/support/local_process.py
+++ b/features/support/local_process.py
@@ -1,4 +1,4 @@
-"""Processes that a scenario starts by itself, on loopback: free ports for them, and a bound on their time."""
+"""Free ports and a time limit for processes that a scenario starts on loopback."""
 
 import random
 import socket
@@ -11,7 +11,7 @@
 
 
 def free_ports(count: int) -> int:
-    """The first of so many free ports in a row."""
+    """Return the first of `count` consecutive free ports."""
     while True:
         first = random.randrange(FIRST_PORT, LAST_PORT)
         sockets = [socket.socket() for _ in range(count)]
@@ -27,9 +27,9 @@
 
 
 def limit_time(process: subprocess.Popen) -> threading.Timer:
-    """Kill a process after a while, because one that never answers must fail the scenario and not hang it.
+    """Kill a process after MAX_SECONDS, so that one that never responds fails the scenario instead of hanging it.
 
-    The timer that is returned must be cancelled once the process has ended.
+    The returned timer must be cancelled once the process has ended.
     """
     timer = threading.Timer(MAX_SECONDS, process.kill)
     timer.start()
--- a/features/support/metrics_text.py
+++ b/features/support/metrics_text.py
@@ -1,4 +1,4 @@
-"""Metrics as a collector of them reads them, in the text format of Prometheus."""
+"""Parses metrics in the text format of Prometheus."""
 
 import re
 
@@ -7,9 +7,9 @@
 
 
 def parse(text: str) -> dict[str, float]:
-    """{name without ours, with its labels: value}."""
+    """Return {name without the prefix `zinctrail_`, followed by its labels: value}."""
     values = {}
     for name, labels, value in ROW.findall(text):
-        words = [f'{label}={content}' for label, content in LABEL.findall(labels)]
-        values[' '.join([name, *words])] = float(value)
+        label_texts = [f'{label}={content}' for label, content in LABEL.findall(labels)]
+        values[' '.join([name, *label_texts])] = float(value)
     return values
--- a/features/support/raw_client.py
+++ b/features/support/raw_client.py
@@ -1,4 +1,4 @@
-"""A client over a real socket that sends just the bytes that a scenario wants."""
+"""A client over a real socket that sends exactly the bytes that a scenario gives it."""
 
 import socket
 
@@ -17,7 +17,7 @@
         self.socket.sendall(data)
 
     def read(self, until: bytes | None = None) -> bytes:
-        """All bytes up to the connection's end, or until the given ones have come."""
+        """Return all bytes received until the connection ends, or until they contain the given ones."""
         received = b''
         while until is None or until not in received:
             try:
--- a/features/support/raw_server.py
+++ b/features/support/raw_server.py
@@ -1,4 +1,4 @@
-"""A server over a real socket that sends just the bytes that a scenario wants."""
+"""A server over a real socket that sends exactly the bytes that a scenario gives it."""
 
 import collections.abc
 import typing
@@ -10,37 +10,37 @@
 
 
 class RawConnection(protocol.Protocol):
-    """Calls `answer(connection, head)` with the head of each request that came, without its empty line.
+    """Calls `respond(connection, head)` with the head of each request, without the empty line after it.
 
     `on_end(connection)` is called when the connection has ended.
     """
 
-    def __init__(self, answer: 'Answer', on_end: 'OnEnd' = lambda connection: None):
-        self.answer, self.on_end, self.data = answer, on_end, b''
+    def __init__(self, respond: 'Responder', on_end: 'OnEnd' = lambda connection: None):
+        self.respond, self.on_end, self.data = respond, on_end, b''
 
     def dataReceived(self, data):
-        """Take bytes, and call `answer` for each head that is whole."""
+        """Append bytes, and call `respond` for each complete head."""
         self.data += data
         while b'\r\n\r\n' in self.data:
             head, _, self.data = self.data.partition(b'\r\n\r\n')
-            self.answer(self, head)
+            self.respond(self, head)
 
     def connectionLost(self, reason=protocol.connectionDone):
-        """The connection has ended."""
+        """Call `on_end`."""
         self.on_end(self)
 
 
-Answer = collections.abc.Callable[[RawConnection, bytes], None]
+Responder = collections.abc.Callable[[RawConnection, bytes], None]
 OnEnd = collections.abc.Callable[[RawConnection], typing.Any]
 
 
 def listen(build_protocol: collections.abc.Callable[[], protocol.Protocol]):
-    """The listening port, on loopback, whose connections get a protocol each."""
+    """Listen on a free loopback port with a new protocol for each connection; return the listening port."""
     factory = protocol.ServerFactory()
     factory.buildProtocol = lambda address: build_protocol()
     return reactor_thread.call(lambda: reactor.listenTCP(0, factory, interface='127.0.0.1'))
 
 
 def address_of(port) -> str:
-    """The address of a port that `listen` returned."""
+    """Return the address of a port that `listen` returned."""
     return f'127.0.0.1:{port.getHost().port}'
--- a/features/support/reactor_thread.py
+++ b/features/support/reactor_thread.py
@@ -1,4 +1,4 @@
-"""The reactor, on a thread of its own that all scenarios of a process share."""
+"""The Twisted reactor, on its own thread that all scenarios of a process share."""
 
 import collections.abc
 import threading
@@ -7,24 +7,26 @@
 import twisted.internet.reactor as reactor
 import twisted.internet.threads as threads
 
-# Turns of the reactor after which a condition counts as never met.
-TURNS_LIMIT = 20000
+# Iterations of the reactor after which a condition counts as never met.
+MAX_ITERATIONS = 20000
 
 
 def call(function: collections.abc.Callable[..., typing.Any], *arguments) -> typing.Any:
-    """The result of a function that is called on the reactor's thread; of a Deferred, what it fires with."""
+    """Call a function on the reactor's thread and return its result; wait for the result if it is a Deferred."""
     if not reactor.running:
         threading.Thread(target=reactor.run, kwargs={'installSignalHandlers': False}, daemon=True).start()
     return threads.blockingCallFromThread(reactor, function, *arguments)
 
 
 def wait_for(condition: collections.abc.Callable[[], typing.Any]) -> typing.Any:
-    """The first true value of a condition that is looked at on the reactor's thread; its turns are the clock.
+    """Evaluate a condition on the reactor's thread until it is true, and return its value.
+
+    The limit counts iterations of the reactor, not time.
 
     Raises AssertionError if it is never true.
     """
-    for _ in range(TURNS_LIMIT):
+    for _ in range(MAX_ITERATIONS):
         value = call(condition)
         if value:
             return value
-    raise AssertionError('never came')
+    raise AssertionError(f'the condition was not met in {MAX_ITERATIONS} iterations of the reactor')
--- a/features/support/repository.py
+++ b/features/support/repository.py
@@ -5,7 +5,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 ADAPTER = os.path.join(ROOT, 'platform')
-# At the end of the path, because the folder's name is also that of a module of the standard library.
+# Appended rather than prepended, because the folder has the name of a standard library module, `platform`.
 if ADAPTER not in sys.path:
     sys.path.append(ADAPTER)
 
--- a/features/support/small_world.py
+++ b/features/support/small_world.py
@@ -1,4 +1,4 @@
-"""The small deployment with traffic, simulated in virtual time; a scenario keeps both parts in its context."""
+"""The small deployment with traffic, simulated in virtual time."""
 
 import zinctrail.fleet.deployments as deployments
 import zinctrail.runtime.durations as durations
@@ -7,12 +7,15 @@
 
 SEED = 5
 WARM_UP = durations.ms(3000)
-# So many requests at least are made, where a share of them is judged.
-LEAST_REQUESTS = 100
+# The minimum number of requests for a check of the failed share.
+MIN_REQUESTS = 100
 
 
 def start(context) -> None:
-    """Start a small world with traffic: `context.world`, and `context.deployment` with its endpoints and callers."""
+    """Start a small world with traffic.
+
+    Stores the world in `context.world`, and its endpoints and callers in `context.deployment`.
+    """
     context.world = world.World(SEED)
     context.deployment = client_deployment.Deployment(context.world, deployments.PRESETS['small'])
     context.deployment.start()
@@ -21,15 +24,15 @@
 
 
 def assert_failures(context, most_percent: float) -> None:
-    """Stop the traffic; no larger share of all requests so far may have failed."""
+    """Stop the traffic, and assert that at most this percentage of all requests so far failed."""
     context.deployment.stop_load()
     tally = context.deployment.tally()
     total = sum(tally.values())
-    assert total > LEAST_REQUESTS, tally
+    assert total > MIN_REQUESTS, tally
     failed = total - tally.get('ran', 0)
     assert failed / total <= most_percent / 100, tally
 
 
 def node_by_id(simulated: world.World, identity: str):
-    """The process whose machine has an identity."""
+    """Return the simulated node whose machine has an id."""
     return next(node for node in simulated.nodes.values() if node.machine.node == identity)
