--- a/features/soak.py
+++ b/features/soak.py
@@ -1,8 +1,9 @@
-"""Soaks by hand: real processes, clients that keep their connections, disturbances that overlap.
+"""Runs soaks by hand: real processes, clients with long-lived connections, disturbances that overlap.
 
   python features/soak.py --seeds=1-50 --seconds=25 --cores=3 --edges=3
 
-Each soak prints its findings and how much it saw; exit 0 only if there were none. The logs of a soak with findings stay.
+Each soak prints its findings and the counts of its records. The exit status is 0 only without findings; the logs of a
+soak with findings are kept.
 """
 
 import argparse
@@ -17,15 +18,15 @@
 import features.support.soak.disturbances as disturbances
 import features.support.soak.run as run
 
-FINDINGS_SHOWN = 12
+MAX_FINDINGS_SHOWN = 12
 
 
 def summary(result: run.Result) -> dict[str, int]:
-    """How much a soak saw."""
+    """Return the counts of the records of a soak."""
     attempts = result.notes.attempts.values()
     counts: collections.Counter[str] = collections.Counter()
     for attempt in attempts:
-        counts['left' if attempt.left_at is not None else attempt.fault or str(attempt.status)] += 1
+        counts['left' if attempt.disconnected_at is not None else attempt.fault or str(attempt.status)] += 1
     runs = collections.Counter(f'run {each.how or "open"}' for each in result.notes.runs)
     return {
         'attempts': len(attempts),
@@ -39,10 +40,10 @@
 
 
 def main() -> int:
-    """Play the soaks that the command line names; the exit status."""
+    """Run the soaks that the command line names, and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument('--seeds', default='1', help='a seed, or FIRST-LAST')
-    parser.add_argument('--seconds', type=float, default=25, help='how long disturbances begin')
+    parser.add_argument('--seconds', type=float, default=25, help='how long disturbances are started')
     parser.add_argument('--cores', type=int, default=3, help='control nodes')
     parser.add_argument('--edges', type=int, default=3, help='proxies')
     options = parser.parse_args()
@@ -53,7 +54,7 @@
         result = run.play(seed, options.seconds, options.cores, options.edges)
         took_s = round(time.monotonic() - began, 1)
         print(f'seed {seed}: {len(result.findings)} findings, {took_s} s, {json.dumps(summary(result))}', flush=True)
-        for finding in result.findings[:FINDINGS_SHOWN]:
+        for finding in result.findings[:MAX_FINDINGS_SHOWN]:
             print(f'  {finding}', flush=True)
         if result.findings:
             has_findings = True
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps of soak.feature: short soaks of real processes, and what their verdicts speak of."""
+"""Steps of soak.feature: short soaks of real processes, and the findings of each verdict."""
 
 import collections.abc
 import signal
@@ -11,33 +11,33 @@
 import features.support.soak.run as soak_run
 import features.support.soak.verdicts as verdicts
 
-ATTEMPTS_LEAST = 300
-FRONT, HOME_FRONT, FOREIGN_FRONT = 'f:1', 'f:2', 'f:3'
-REGIONS = {'z1': 'north', FRONT: 'north', HOME_FRONT: 'south', FOREIGN_FRONT: 'west'}
+MIN_ATTEMPTS = 300
+INGRESS, HOME_INGRESS, FOREIGN_INGRESS = 'f:1', 'f:2', 'f:3'
+REGIONS = {'z1': 'north', INGRESS: 'north', HOME_INGRESS: 'south', FOREIGN_INGRESS: 'west'}
 HOMES = {'h': {'north', 'south'}}
 NOW = 100.0
 
 
-@behave.when('a soak of {cores:d} control nodes and {edges:d} proxies is played for {seconds:d} s under seed {seed:d}')
-def soak_is_played(context, cores: int, edges: int, seconds: int, seed: int):
+@behave.when('a soak of {cores:d} control nodes and {edges:d} proxies runs for {seconds:d} s under seed {seed:d}')
+def soak_runs(context, cores: int, edges: int, seconds: int, seed: int):
     context.result = soak_run.play(seed, seconds, cores, edges)
 
 
-@behave.then('it finds nothing, and saw enough')
-def soak_finds_nothing(context):
+@behave.then('it has no findings, and enough attempts and signals')
+def soak_has_no_findings(context):
     findings, notes, folder, _ = context.result
     assert not findings, (findings[:5], folder)
     served = sum(attempt.status == 200 for attempt in notes.attempts.values())
-    assert served > ATTEMPTS_LEAST and notes.ends and notes.signals, (served, len(notes.ends))
+    assert served > MIN_ATTEMPTS and notes.ends and notes.signals, (served, len(notes.ends))
 
 
-# -- what the verdicts speak of ----------------------------------------------------
+# -- findings of the verdicts -------------------------------------------------------
 
 
 def add_attempt(notes: soak_notes.Notes, runs_once: bool = False, took_s: float = 0.1, **fields) -> soak_notes.Attempt:
-    """An attempt that was answered well, but for these fields."""
+    """Record an attempt that got a correct response, apart from these fields."""
     attempt = soak_notes.Attempt(
-        notes.new_attempt_id(), 'r', runs_once, FRONT, 1, NOW, NOW + took_s, 200, is_sealed=True
+        notes.new_attempt_id(), 'r', runs_once, INGRESS, 1, NOW, NOW + took_s, 200, is_sealed=True
     )
     for name, value in fields.items():
         setattr(attempt, name, value)
@@ -46,111 +46,120 @@
 
 
 def add_run(notes: soak_notes.Notes, attempt_id: str, ended_at: float = NOW + 0.05, how: str = 'answered') -> None:
-    """A run of an attempt."""
+    """Record an execution of an attempt."""
     notes.runs.append(soak_notes.Run(attempt_id, 'i', NOW, ended_at, how))
 
 
 def add_served(notes: soak_notes.Notes, runs: int = 1, **fields) -> None:
-    """An attempt that ran so many times."""
+    """Record an attempt that was executed `runs` times."""
     attempt = add_attempt(notes, **fields)
     for _ in range(runs):
         add_run(notes, attempt.id)
 
 
 def add_broken(notes: soak_notes.Notes, how: str = 'dropped', has_run: bool = True, took_s: float = 0.1) -> None:
-    """An attempt whose connection ended without an answer."""
+    """Record an attempt whose connection ended without a response."""
     attempt = add_attempt(notes, took_s=took_s, status=0, fault='IncompleteReadError')
     if has_run:
         add_run(notes, attempt.id, how=how)
 
 
-def add_left(notes: soak_notes.Notes, count: int, worked_s: float) -> None:
-    """Attempts whose clients left, and which were worked on for so long after that."""
+def add_disconnected(notes: soak_notes.Notes, count: int, worked_s: float) -> None:
+    """Record attempts whose clients disconnected, and which were executed for `worked_s` seconds after that."""
     for _ in range(count):
-        attempt = add_attempt(notes, status=0, fault='left', left_at=NOW + 0.1)
+        attempt = add_attempt(notes, status=0, fault='left', disconnected_at=NOW + 0.1)
         add_run(notes, attempt.id, NOW + 0.1 + worked_s, 'dropped')
 
 
 def add_killed_and_broken(notes: soak_notes.Notes) -> None:
-    """A killed process, and what broke with it."""
-    notes.signals.append(soak_notes.Signal('edge', FRONT, signal.SIGKILL, NOW + 0.05))
+    """Record a killed process, and an attempt whose connection ended with it."""
+    notes.signals.append(soak_notes.Signal('edge', INGRESS, signal.SIGKILL, NOW + 0.05))
     add_broken(notes)
 
 
 def add_lookup(notes: soak_notes.Notes, *addresses: str) -> None:
-    """A lookup of a host with homes."""
+    """Record a lookup of a host with home regions."""
     notes.lookups.append(soak_notes.Lookup('z1', 'h', list(addresses), NOW))
 
 
 def add_end(notes: soak_notes.Notes, code: int, by_signal: int | None) -> None:
-    """The end of a process that had run for long."""
+    """Record the exit of a process that had run for a long time."""
     notes.ends.append(soak_notes.End('edge', code, NOW, by_signal, NOW - 1))
 
 
 CASES: dict[str, collections.abc.Callable[[soak_notes.Notes], None]] = {
     'all is well': add_served,
-    'a success bears no seal': lambda notes: add_served(notes, is_sealed=False),
-    'what may run once ran twice': lambda notes: add_served(notes, runs=2, runs_once=True),
-    'what may run once was refused and ran': lambda notes: add_served(notes, runs_once=True, status=503),
-    'something ran that nobody sent': lambda notes: add_run(notes, 'nobody'),
-    'a request was passed on and its connection ended': add_broken,
-    'a request was passed on and its connection ended, as its process was killed': add_killed_and_broken,
-    'a request was passed on and its connection ended, as its endpoint crashed': lambda notes: add_broken(
+    'a successful response has no seal': lambda notes: add_served(notes, is_sealed=False),
+    'a non-idempotent request was executed twice': lambda notes: add_served(notes, runs=2, runs_once=True),
+    'a non-idempotent request was refused and executed': lambda notes: add_served(notes, runs_once=True, status=503),
+    'a request was executed that no client sent': lambda notes: add_run(notes, 'nobody'),
+    'a request was forwarded and its connection ended': add_broken,
+    'a request was forwarded and its connection ended, as its process was killed': add_killed_and_broken,
+    'a request was forwarded and its connection ended, as its endpoint crashed': lambda notes: add_broken(
         notes, how='crashed'
     ),
     'a request crossed the close of its connection': lambda notes: add_broken(notes, has_run=False, took_s=0.01),
     'a request was read for a second and its connection ended': lambda notes: add_broken(
         notes, has_run=False, took_s=1.0
     ),
-    'four requests were worked on for a second after their clients had left': lambda notes: add_left(notes, 4, 1.0),
-    'three requests were worked on for a second after their clients had left': lambda notes: add_left(notes, 3, 1.0),
-    'four requests were dropped as their clients left': lambda notes: add_left(notes, 4, 0.01),
-    'a lookup named a foreign region beside a home': lambda notes: add_lookup(notes, HOME_FRONT, FOREIGN_FRONT),
-    'a lookup named a foreign region alone': lambda notes: add_lookup(notes, FOREIGN_FRONT),
-    'a process ended by itself': lambda notes: add_end(notes, 0, None),
-    'a process ended with 1 after SIGTERM': lambda notes: add_end(notes, 1, signal.SIGTERM),
-    'a process ended with 0 after SIGTERM': lambda notes: add_end(notes, 0, signal.SIGTERM),
+    'four requests ran on for a second after their clients had disconnected': lambda notes: add_disconnected(
+        notes, 4, 1.0
+    ),
+    'three requests ran on for a second after their clients had disconnected': lambda notes: add_disconnected(
+        notes, 3, 1.0
+    ),
+    'four requests were cancelled as their clients disconnected': lambda notes: add_disconnected(notes, 4, 0.01),
+    'a lookup named a foreign region beside a home': lambda notes: add_lookup(notes, HOME_INGRESS, FOREIGN_INGRESS),
+    'a lookup named a foreign region alone': lambda notes: add_lookup(notes, FOREIGN_INGRESS),
+    'a process exited by itself': lambda notes: add_end(notes, 0, None),
+    'a process exited with 1 after SIGTERM': lambda notes: add_end(notes, 1, signal.SIGTERM),
+    'a process exited with 0 after SIGTERM': lambda notes: add_end(notes, 0, signal.SIGTERM),
     'a process was killed': lambda notes: add_end(notes, -signal.SIGKILL, signal.SIGKILL),
-    'a proxy did not end within its grace': lambda notes: notes.faults.append('edge did not end within its grace'),
+    'a proxy did not exit within its grace period': lambda notes: notes.faults.append(
+        'edge did not exit within its grace period'
+    ),
 }
 
 
-@behave.given('the notes of a soak in which {what}')
-def notes_of_soak(context, what: str):
+@behave.given('the records of a soak in which {what}')
+def records_of_soak(context, what: str):
     notes = soak_notes.Notes()
     add_served(notes)
     CASES[what](notes)
-    context.judge = verdicts.Judge(notes, HOMES, REGIONS, {'edge': [0.0]}, contention=1.0)
+    context.checker = verdicts.RecordChecker(notes, HOMES, REGIONS, {'edge': [0.0]}, contention=1.0)
 
 
-@behave.then('its verdicts are {verdict}')
-def verdicts_are(context, verdict: str):
-    names = {finding.partition(':')[0] for finding in context.judge.verdicts()}
-    assert names == (set() if verdict == 'none' else {verdict}), context.judge.verdicts()
+@behave.then('its findings are {verdict}')
+def findings_are(context, verdict: str):
+    names = {finding.partition(':')[0] for finding in context.checker.findings()}
+    assert names == (set() if verdict == 'none' else {verdict}), context.checker.findings()
 
 
 # -- processes ----------------------------------------------------------------------
 
 
-@behave.given('a process of a soak that takes a while to go')
+@behave.given('a process of a soak that takes a while to exit')
 def slow_process(context):
     context.notes = soak_notes.Notes()
     soak = types.SimpleNamespace(seed=1, notes=context.notes)
-    still_there = types.SimpleNamespace(poll=lambda: None)
-    process = types.SimpleNamespace(name='edge', ingress=FRONT, process=still_there, signal=lambda number: None)
+    still_running = types.SimpleNamespace(poll=lambda: None)
+    process = types.SimpleNamespace(name='edge', ingress=INGRESS, process=still_running, signal=lambda number: None)
     context.keeper = keepers.Keeper(soak, process)
 
 
-@behave.when('it gets {names}')
+@behave.when('the process gets {names}')
 def process_gets_signals(context, names: str):
     for name in names.split():
         context.keeper.signal(signal.Signals[name])
 
 
-@behave.then('it counts as ended by {name} from its {time} signal on')
-def counts_as_ended_by(context, name: str, time: str):
+@behave.then('it counts as stopped by {name} from its {time} signal on')
+def counts_as_stopped_by(context, name: str, time: str):
     assert context.keeper.ended_by == signal.Signals[name], context.keeper.ended_by
     sent_at = [0.0, *(sent.at for sent in context.notes.signals)]
     position = ('first', 'second').index(time)
-    # It is told right before its signal is noted.
-    assert sent_at[position] < context.keeper.told_at <= sent_at[position + 1], (sent_at, context.keeper.told_at)
+    # The time is taken right before the signal is recorded.
+    assert sent_at[position] < context.keeper.signalled_at <= sent_at[position + 1], (
+        sent_at,
+        context.keeper.signalled_at,
+    )
--- a/features/support/soak/clients.py
+++ b/features/support/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: each uses one connection until it ends, whatever directories say meanwhile, and at times leaves."""
+"""Clients of a soak: each uses a connection until it ends, whatever directories say, and sometimes disconnects."""
 
 import asyncio
 import json
@@ -8,35 +8,35 @@
 import features.support.http_calls as http_calls
 import features.support.soak.notes as soak_notes
 
-LEFT_MS = 4000
-# How much longer than it says a client waits.
-PATIENCE_S = 4.0
-# The share of requests that may be repeated whose client leaves before the answer, and within what time.
-LEAVING_SHARE = 0.12
-LEAVES_WITHIN_S = 0.5
+DEADLINE_MS = 4000
+# How long a client waits beyond the deadline that it sends.
+EXTRA_WAIT_S = 4.0
+# The share of idempotent requests whose client disconnects before the response, and the time limit for that.
+DISCONNECT_SHARE = 0.12
+DISCONNECT_WITHIN_S = 0.5
 PAUSE_S = 0.04
-# How long a client waits after a connection that failed.
+# How long a client waits after a failed connection attempt.
 RECONNECT_S = 0.1
 LOOKUP_S = 1.0
 HEAD_BYTES = 65536
 
 
 class Directory:
-    """What directories last said, for each zone and host; a client goes by it for longer than it holds at times."""
+    """The last resolution of each zone and host; clients may use one after its time to live."""
 
     def __init__(self, soak, zones: list[str], hosts: list[str]) -> None:
         self.soak = soak
         self.known: dict[tuple[str, str], list[str]] = {(zone, host): [] for zone in zones for host in hosts}
 
-    async def keep_asking(self) -> None:
-        """Ask all control nodes in turn, again and again."""
+    async def keep_resolving(self) -> None:
+        """Resolve every zone and host repeatedly until the soak is over."""
         while not self.soak.is_over:
             for zone, host in self.known:
-                await self.ask(zone, host)
+                await self.resolve(zone, host)
             await asyncio.sleep(LOOKUP_S)
 
-    async def ask(self, zone: str, host: str) -> None:
-        """Ask for the fronts of a host; what is known stays where nobody answers."""
+    async def resolve(self, zone: str, host: str) -> None:
+        """Look up the ingresses of a host; keep the last result if no control node responds."""
         path = f'/v1/resolution?name={host}&region={self.soak.regions[zone]}&zone={zone}'
         for process in self.soak.rng.sample(self.soak.cores, len(self.soak.cores)):
             response = await self.soak.call(process.process.directory, 'GET', path)
@@ -70,12 +70,12 @@
         self.close(reset=False)
 
     async def connect(self) -> bool:
-        """Open a connection to any front that it was told of; whether there is one."""
+        """Open a connection to a random known ingress; return True on success."""
         self.host = self.rng.choice(self.soak.hosts)
-        fronts = self.soak.directory.known[self.zone, self.host]
-        if not fronts:
+        ingresses = self.soak.directory.known[self.zone, self.host]
+        if not ingresses:
             return False
-        self.ingress = self.rng.choice(fronts)
+        self.ingress = self.rng.choice(ingresses)
         host, _, port = self.ingress.rpartition(':')
         try:
             self.reader, self.writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 1.0)
@@ -90,7 +90,7 @@
         self.reader = self.writer = None
 
     async def attempt(self) -> None:
-        """Send one request over the connection, and read its answer or leave."""
+        """Send one request over the connection, and read its response or disconnect."""
         route = self.rng.choice(self.soak.routes_of_host[self.host])
         attempt = soak_notes.Attempt(
             id=self.soak.notes.new_attempt_id(),
@@ -106,18 +106,18 @@
             f'{method} /{route.name}/x HTTP/1.1',
             f'Host: {self.host}',
             f'Zinctrail-Attempt-Id: {attempt.id}',
-            f'Zinctrail-Deadline-Remaining: {LEFT_MS}',
+            f'Zinctrail-Deadline-Remaining: {DEADLINE_MS}',
             'Content-Length: 0',
         ]
         assert self.writer is not None
         self.writer.write('\r\n'.join(lines).encode() + b'\r\n\r\n')
-        is_leaving = not route.runs_once and self.rng.random() < LEAVING_SHARE
-        patience = self.rng.uniform(0, LEAVES_WITHIN_S) if is_leaving else LEFT_MS / 1000 + PATIENCE_S
+        disconnects = not route.runs_once and self.rng.random() < DISCONNECT_SHARE
+        wait_s = self.rng.uniform(0, DISCONNECT_WITHIN_S) if disconnects else DEADLINE_MS / 1000 + EXTRA_WAIT_S
         try:
-            response = await asyncio.wait_for(self.read_response(), patience)
+            response = await asyncio.wait_for(self.read_response(), wait_s)
         except TimeoutError:
-            attempt.left_at = soak_notes.now()
-            attempt.fault = 'left' if is_leaving else 'no answer'
+            attempt.disconnected_at = soak_notes.now()
+            attempt.fault = 'left' if disconnects else 'no response'
             self.close(reset=self.rng.random() < 0.5)
             return
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError) as error:
@@ -126,20 +126,20 @@
             return
         finally:
             attempt.ended_at = soak_notes.now()
-        self.judge(attempt, response)
+        self.record(attempt, response)
         if 'close' in response.headers.get('connection', '').lower():
             self.close(reset=False)
 
     async def read_response(self) -> http_calls.Response:
-        """Read a whole response."""
+        """Read a complete response."""
         assert self.reader is not None
         head = await self.reader.readuntil(b'\r\n\r\n')
         response, _ = http_calls.parse_response(head)
         body = await self.reader.readexactly(int(response.headers.get('content-length', 0)))
         return http_calls.Response(response.status, response.headers, body)
 
-    def judge(self, attempt: soak_notes.Attempt, response: http_calls.Response) -> None:
-        """Note an answer; a success must bear the seal and the body of this attempt."""
+    def record(self, attempt: soak_notes.Attempt, response: http_calls.Response) -> None:
+        """Record a response, and whether a success has the seal and the body of this attempt."""
         attempt.status = response.status
         if response.status == 200:
             seal = response.headers.get('zinctrail-server-seal')
--- a/features/support/soak/disturbances.py
+++ b/features/support/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""The disturbances of a soak: seeded series of signals, changes and endpoints that come and go, which overlap."""
+"""The disturbances of a soak: seeded, overlapping series of signals, changes and replaced endpoints."""
 
 import asyncio
 import collections.abc
@@ -9,7 +9,7 @@
 import features.support.platform_documents as platform_documents
 import features.support.soak.keepers as keepers
 
-# How long after one disturbance the next begins; many of them last for longer.
+# The time from the start of a disturbance to the next; many of them last longer.
 PAUSE_S = (0.1, 0.9)
 FREEZE_S = (0.1, 1.2)
 EVACUATION_S = (1.0, 3.0)
@@ -20,45 +20,45 @@
 
 
 class Disturbances:
-    """Draws disturbances, and begins each whether those before have ended or not."""
+    """Draws disturbances, and starts each without waiting for the earlier ones."""
 
     def __init__(self, soak) -> None:
         self.soak = soak
         self.rng = random.Random(f'{soak.seed}/disturbances')
-        self.under_way: set[asyncio.Task] = set()
+        self.running_tasks: set[asyncio.Task] = set()
         self.version = 100
 
     async def run(self, seconds: float) -> None:
-        """Begin disturbances for so long, and wait until all have ended."""
+        """Start disturbances for `seconds`, and wait until all have ended."""
         loop = asyncio.get_running_loop()
         names, weights = list(WEIGHTS), list(WEIGHTS.values())
         end = loop.time() + seconds
         while loop.time() < end:
             name = self.rng.choices(names, weights)[0]
             task = loop.create_task(ALL[name](self))
-            self.under_way.add(task)
-            task.add_done_callback(self.under_way.discard)
+            self.running_tasks.add(task)
+            task.add_done_callback(self.running_tasks.discard)
             await asyncio.sleep(self.rng.uniform(*PAUSE_S))
-        # Those that begin while these end are theirs, so that a gather of now has all.
-        await asyncio.gather(*self.under_way)
+        # A disturbance runs the ones it starts itself within its own task, so that this gather covers all.
+        await asyncio.gather(*self.running_tasks)
 
     def any_process(self) -> keepers.Keeper:
-        """Any process."""
+        """Return a random process."""
         return self.rng.choice(self.soak.keepers)
 
     def any_edge(self) -> keepers.Keeper:
-        """Any proxy."""
+        """Return a random proxy."""
         return self.rng.choice(self.soak.edges)
 
-    def spare_majority(self, process: keepers.Keeper) -> bool:
-        """Whether a majority of control nodes goes on if this process stops now."""
+    def keeps_majority(self, process: keepers.Keeper) -> bool:
+        """Return True if a majority of control nodes keeps running when this process stops now."""
         if process not in self.soak.cores:
             return True
         running = [core for core in self.soak.cores if core is not process and core.ended_by is None]
         return len(running) > len(self.soak.cores) // 2
 
     def next_version(self) -> int:
-        """A version of an item above all before."""
+        """Return an item version above all earlier ones."""
         self.version += self.rng.choice((1, 2, 5))
         return self.version
 
@@ -68,9 +68,9 @@
 
 
 async def terminate(disturbances: Disturbances) -> None:
-    """SIGTERM, at times twice."""
+    """Send SIGTERM to a process, sometimes twice."""
     process = disturbances.any_process()
-    if not disturbances.spare_majority(process):
+    if not disturbances.keeps_majority(process):
         return
     disturbances.soak.notes.event(f'SIGTERM {process.process.name}')
     process.signal(signal.SIGTERM)
@@ -80,7 +80,7 @@
 
 
 async def terminate_amid_others(disturbances: Disturbances) -> None:
-    """A SIGTERM with other signals right before and after it."""
+    """Send SIGTERM to a proxy, with other signals right before and after it."""
     process = disturbances.any_edge()
     numbers = [signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]
     disturbances.soak.notes.event(f'SIGHUP and SIGTERM by turns {process.process.name}')
@@ -90,7 +90,7 @@
 
 
 async def terminate_then_kill(disturbances: Disturbances) -> None:
-    """A SIGTERM, and a SIGKILL while it drains."""
+    """Send SIGTERM to a proxy, and SIGKILL while it drains."""
     process = disturbances.any_edge()
     disturbances.soak.notes.event(f'SIGTERM, SIGKILL {process.process.name}')
     process.signal(signal.SIGTERM)
@@ -99,22 +99,22 @@
 
 
 async def kill(disturbances: Disturbances) -> None:
-    """SIGKILL."""
+    """Send SIGKILL to a process."""
     process = disturbances.any_process()
-    if disturbances.spare_majority(process):
+    if disturbances.keeps_majority(process):
         disturbances.soak.notes.event(f'SIGKILL {process.process.name}')
         process.signal(signal.SIGKILL)
 
 
 async def kill_all(disturbances: Disturbances) -> None:
-    """All processes are killed at one moment."""
+    """Send SIGKILL to all processes at once."""
     disturbances.soak.notes.event('SIGKILL to all')
     for process in disturbances.soak.keepers:
         process.signal(signal.SIGKILL)
 
 
 async def hang_up(disturbances: Disturbances) -> None:
-    """SIGHUP, with other settings or the same."""
+    """Send SIGHUP to a process, with changed or unchanged settings."""
     process = disturbances.any_process()
     settings = process.process.settings
     if disturbances.rng.random() < 0.7:
@@ -126,9 +126,9 @@
 
 
 async def freeze(disturbances: Disturbances) -> None:
-    """A process stands still for a while."""
+    """Freeze a process for a while."""
     process = disturbances.any_process()
-    if not disturbances.spare_majority(process):
+    if not disturbances.keeps_majority(process):
         return
     disturbances.soak.notes.event(f'SIGSTOP {process.process.name}')
     process.signal(signal.SIGSTOP)
@@ -137,7 +137,7 @@
 
 
 async def roll_edges(disturbances: Disturbances) -> None:
-    """All proxies are told to end, one after another and faster than they come back."""
+    """Send SIGTERM to all proxies, one after another and faster than they restart."""
     disturbances.soak.notes.event('SIGTERM to each proxy in turn')
     for process in disturbances.rng.sample(disturbances.soak.edges, len(disturbances.soak.edges)):
         process.signal(signal.SIGTERM)
@@ -145,10 +145,10 @@
 
 
 async def roll_cores(disturbances: Disturbances) -> None:
-    """The control nodes are told to end, one after another."""
+    """Send SIGTERM to all control nodes, one after another, while a majority keeps running."""
     disturbances.soak.notes.event('SIGTERM to each control node in turn')
     for process in disturbances.rng.sample(disturbances.soak.cores, len(disturbances.soak.cores)):
-        while not disturbances.spare_majority(process):
+        while not disturbances.keeps_majority(process):
             await asyncio.sleep(keepers.POLL_S)
             if disturbances.soak.is_over:
                 return
@@ -157,7 +157,7 @@
 
 
 async def change_configuration(disturbances: Disturbances) -> None:
-    """A series of changes: other times, other services, routes that come and go."""
+    """Make a series of changes: new priorities and targets of routes, and routes that are added and removed."""
     soak, rng = disturbances.soak, disturbances.rng
     for _ in range(rng.randint(1, 4)):
         route = rng.choice(soak.all_routes)
@@ -177,7 +177,7 @@
 
 
 async def evacuate(disturbances: Disturbances) -> None:
-    """A zone's endpoints get nothing for a while."""
+    """Evacuate a zone for a while, so that its endpoints get no requests."""
     zone = disturbances.rng.choice(disturbances.soak.zones)
     disturbances.soak.notes.event(f'evacuation of {zone}')
     await disturbances.soak.call_control('POST', f'/v1/evacuation/{zone}')
@@ -186,7 +186,7 @@
 
 
 async def replace_endpoint(disturbances: Disturbances) -> None:
-    """An endpoint drains and ends, and another comes for it."""
+    """Start a replacement for an endpoint, then drain and stop the old one."""
     soak = disturbances.soak
     old = disturbances.rng.choice([each for each in soak.endpoints if not each.has_ended and each.state == 'available'])
     disturbances.soak.notes.event(f'drain {old.identifier}')
@@ -195,7 +195,7 @@
 
 
 async def crash_endpoint(disturbances: Disturbances) -> None:
-    """An endpoint ends without a word, and another comes for it."""
+    """Crash an endpoint, then start a replacement."""
     soak = disturbances.soak
     old = disturbances.rng.choice([each for each in soak.endpoints if not each.has_ended])
     disturbances.soak.notes.event(f'crash {old.identifier}')
@@ -221,7 +221,7 @@
         crash_endpoint,
     )
 }
-# How often each is drawn.
+# The relative frequency of each disturbance.
 WEIGHTS = {
     'terminate': 6,
     'terminate_amid_others': 3,
@@ -240,5 +240,5 @@
 
 
 def describe(events: list[tuple[float, str]], began: float) -> str:
-    """The disturbances of a soak as JSON, with their times from its beginning."""
+    """Return the disturbances of a soak as JSON, with their times since its start."""
     return json.dumps([[round(at - began, 2), text] for at, text in events])
--- a/features/support/soak/endpoints.py
+++ b/features/support/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a soak: asyncio servers that work on a request for a while, and drop it when its connection ends."""
+"""Endpoints of a soak: asyncio servers that execute a request for a while, and cancel it when its connection ends."""
 
 import asyncio
 import contextlib
@@ -12,16 +12,16 @@
 
 HEARTBEAT_S = 1.0
 PORT = 8080
-# Most requests take little, some take long.
+# Ranges of the execution time: most requests are short, some are long.
 WORK_MS = (5, 60)
 LONG_WORK_MS = (400, 1500)
 LONG_SHARE = 0.15
-# How long an endpoint serves on after its word that it drains.
+# How long an endpoint keeps serving after it has reported that it is draining.
 AFTER_DRAIN_S = 3.5
 
 
 class Connection(asyncio.Protocol):
-    """One connection from a proxy; one request at a time."""
+    """A connection from a proxy, with one request at a time."""
 
     def __init__(self, owner: 'SoakEndpoint') -> None:
         self.owner = owner
@@ -35,13 +35,13 @@
         self.owner.connections.add(self)
 
     def connection_lost(self, error) -> None:
-        """Drop what is worked on."""
+        """Cancel the request in progress."""
         self.owner.connections.discard(self)
         if self.work is not None:
             self.work.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Take a request, once it is whole."""
+        """Append bytes, and start a request once it is complete."""
         self.received += data
         head, separator, rest = self.received.partition(b'\r\n\r\n')
         if not separator:
@@ -56,7 +56,7 @@
         request = endpoint.Request(
             id=headers.get('zinctrail-attempt-id', ''), method=method, path=path, headers=headers, body=rest[:size]
         )
-        self.work = asyncio.get_running_loop().create_task(self.owner.answer(self, request))
+        self.work = asyncio.get_running_loop().create_task(self.owner.respond(self, request))
 
     def respond(self, status: int, headers: dict[str, str], body: bytes = b'') -> None:
         """Write a response."""
@@ -66,7 +66,7 @@
 
 
 class SoakEndpoint:
-    """One endpoint; each start is an endpoint of its own."""
+    """One endpoint; every start is a new endpoint with its own identifier."""
 
     def __init__(self, soak, address: str, service: str, zone: str, rng: random.Random) -> None:
         self.soak, self.address, self.service_name, self.zone, self.rng = soak, address, service, zone, rng
@@ -92,7 +92,7 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     async def send_heartbeat(self) -> int:
-        """Send one heartbeat, at any control node; the status, 0 where nobody answers."""
+        """Send one heartbeat to any control node; return the status, 0 without a response."""
         self.sequence += 1
         document = platform_documents.heartbeat(
             self.service_name, self.address, self.sequence, zone=self.zone, slot_count=8, state=self.state
@@ -100,7 +100,7 @@
         return await self.soak.call_control('PUT', f'/v1/instances/{self.identifier}', document)
 
     async def drain(self) -> None:
-        """Say that it drains, serve on for its time, sign off and end."""
+        """Report draining, keep serving for AFTER_DRAIN_S, deregister and stop."""
         self.state = 'draining'
         await self.send_heartbeat()
         await asyncio.sleep(AFTER_DRAIN_S)
@@ -108,7 +108,7 @@
         await self.end()
 
     async def end(self) -> None:
-        """Close the listener and all connections; what is worked on is lost."""
+        """Close the listener and all connections; requests in progress are lost."""
         if self.has_ended:
             return
         self.has_ended = True
@@ -122,8 +122,8 @@
         for connection in list(self.connections):
             connection.transport.abort()
 
-    async def answer(self, connection: Connection, request: endpoint.Request) -> None:
-        """Answer one request; work on it first, for as long as anybody waits."""
+    async def respond(self, connection: Connection, request: endpoint.Request) -> None:
+        """Execute one request, unless its connection ends, and respond to it."""
         if request['method'] == 'GET' and request['path'] == '/health':
             status = 200 if self.state == 'available' else 503
             connection.respond(status, {'Zinctrail-Instance': self.identifier})
--- a/features/support/soak/keepers.py
+++ b/features/support/soak/keepers.py
@@ -1,4 +1,4 @@
-"""Processes of the adapter in a soak: started again a moment after each end, and killed once their grace is over."""
+"""Keepers of the processes in a soak: they restart a process after each exit, and kill it after its grace period."""
 
 import asyncio
 import random
@@ -13,15 +13,15 @@
 
 
 class Keeper:
-    """Keeps one process running."""
+    """Keeps one process of the adapter running."""
 
     def __init__(self, soak, process: deployment.AdapterProcess) -> None:
         self.soak, self.process = soak, process
         self.rng = random.Random(f'{soak.seed}/{process.name}')
         self.starts = 0
-        # The signal that should end it, and when that was sent.
+        # The signal that should stop the process, and when it was sent.
         self.ended_by: int | None = None
-        self.told_at = 0.0
+        self.signalled_at = 0.0
 
     def start(self) -> None:
         """Start the process."""
@@ -31,12 +31,12 @@
         self.process.start()
 
     def signal(self, number: int) -> None:
-        """Send a signal, and note it."""
+        """Send a signal, and record it."""
         if self.process.process is None or self.process.process.poll() is not None:
             return
-        # A SIGKILL ends a process that was told to end before, too; a SIGTERM changes nothing for one that was.
+        # SIGKILL also stops a process that is shutting down already; SIGTERM changes nothing for such a process.
         if number == signal.SIGKILL or (number == signal.SIGTERM and self.ended_by is None):
-            self.told_at = soak_notes.now()
+            self.signalled_at = soak_notes.now()
             self.ended_by = number
         self.soak.notes.signals.append(
             soak_notes.Signal(self.process.name, self.process.ingress, number, soak_notes.now())
@@ -44,7 +44,7 @@
         self.process.signal(number)
 
     async def keep(self) -> None:
-        """Watch the process until the soak is over; start it again after each end."""
+        """Watch the process until the soak is over; restart it after each exit."""
         grace_s = self.process.settings['bounds']['grace_period_s']
         while not self.soak.is_over:
             await asyncio.sleep(POLL_S)
@@ -53,15 +53,15 @@
             if code is not None:
                 await self.restart(code)
             elif self.ended_by == signal.SIGTERM:
-                overdue_s = soak_notes.now() - self.told_at - grace_s * deployment_client.contention()
+                overdue_s = soak_notes.now() - self.signalled_at - grace_s * deployment_client.contention()
                 if overdue_s > 0:
-                    self.soak.notes.faults.append(f'{self.process.name} did not end within its grace')
+                    self.soak.notes.faults.append(f'{self.process.name} did not exit within its grace period')
                     self.signal(signal.SIGKILL)
 
     async def restart(self, code: int) -> None:
-        """Note an end, and start the process again."""
+        """Record an exit, and restart the process."""
         self.soak.notes.ends.append(
-            soak_notes.End(self.process.name, code, soak_notes.now(), self.ended_by, self.told_at)
+            soak_notes.End(self.process.name, code, soak_notes.now(), self.ended_by, self.signalled_at)
         )
         await asyncio.sleep(self.rng.uniform(*RESTART_S))
         self.process.settings['first_start'] = False
--- a/features/support/soak/notes.py
+++ b/features/support/soak/notes.py
@@ -1,4 +1,7 @@
-"""What a soak saw from outside; its verdicts read nothing else. Times are seconds of the monotonic clock."""
+"""Records of what a soak observed from outside, the only input of its verdicts.
+
+Times are seconds of the monotonic clock.
+"""
 
 import dataclasses
 import itertools
@@ -7,7 +10,7 @@
 
 
 def now() -> float:
-    """The time that notes bear."""
+    """Return the time as records store it."""
     return time.monotonic()
 
 
@@ -23,18 +26,18 @@
     start: int
     sent_at: float
     ended_at: float | None = None
-    # 0 where no whole answer came; then the fault says what came instead.
+    # 0 without a complete response; `fault` then has the reason.
     status: int = 0
     fault: str = ''
-    # When the client left, without waiting for the answer.
-    left_at: float | None = None
-    # Whether the answer is a success with the seal and the body of its endpoint for this very attempt.
+    # When the client disconnected before the response.
+    disconnected_at: float | None = None
+    # True if the response is a success with the seal and the body of the endpoint for this attempt.
     is_sealed: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """A request that an endpoint worked on."""
+    """The execution of a request at an endpoint."""
 
     attempt_id: str
     identifier: str
@@ -46,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Signal:
-    """A signal that a process was sent."""
+    """A signal that was sent to a process."""
 
     name: str
     ingress: str
@@ -56,13 +59,13 @@
 
 @dataclasses.dataclass(slots=True)
 class End:
-    """The end of a process: its exit code, and the last signal that should have ended it, None where there was none."""
+    """The exit of a process: its exit code, and the last signal that should have stopped it, or None."""
 
     name: str
     code: int
     at: float
     by_signal: int | None
-    told_at: float
+    signalled_at: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -76,14 +79,14 @@
 
 
 class AcknowledgedChange(typing.NamedTuple):
-    """A change of an item that was acknowledged; None is its removal."""
+    """An acknowledged change of an item; the row is None for a removal."""
 
     version: int
     row: dict[str, typing.Any] | None
 
 
 class Notes:
-    """All that was seen."""
+    """All records of a soak."""
 
     def __init__(self) -> None:
         self.numbers = itertools.count(1)
@@ -92,19 +95,19 @@
         self.signals: list[Signal] = []
         self.ends: list[End] = []
         self.lookups: list[Lookup] = []
-        # What the disturbances did, in words.
+        # (when, description) of each disturbance.
         self.events: list[tuple[float, str]] = []
         # The newest acknowledged change of each item, by its name.
         self.acknowledged: dict[str, AcknowledgedChange] = {}
-        # (when, how late it was in seconds) of the soak's own loop.
+        # (when, lag in seconds) of the soak's own event loop.
         self.lags: list[tuple[float, float]] = []
-        # Faults that a part of the soak saw itself.
+        # Errors that parts of the soak found themselves.
         self.faults: list[str] = []
 
     def new_attempt_id(self) -> str:
-        """An id that no other attempt has."""
+        """Return an id that no other attempt has."""
         return f'{next(self.numbers):016x}'
 
     def event(self, text: str) -> None:
-        """Note what a disturbance does."""
+        """Record the description of a disturbance."""
         self.events.append((now(), text))
--- a/features/support/soak/run.py
+++ b/features/support/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: a deployment of real processes, endpoints and clients, disturbances for a while, then verdicts."""
+"""One soak: a deployment of real processes, endpoints and clients, disturbances for a while, then the verdicts."""
 
 import asyncio
 import http.client
@@ -25,11 +25,11 @@
 ENDPOINTS_PER_SERVICE = 4
 CLIENTS_PER_ZONE = 8
 ROUTE_TIMEOUT_MS = 3500
-# How long idle connections to endpoints are kept at most, and a little more.
+# A little more than the longest time that idle connections to endpoints stay open.
 IDLE_S = 4.5
-# How often it is measured whether the loop is late.
+# The interval of the measurement of the event loop's lag.
 LAG_INTERVAL_S = 0.02
-# The last byte of the first endpoint's address; each has an address that no earlier one had.
+# The last byte of the address of the first endpoint; every endpoint gets a new address.
 FIRST_ENDPOINT = 1
 FINAL_STATUSES = (200, 400, 404, 409, 413, 422)
 
@@ -44,7 +44,7 @@
 
 
 def make_route(name: str, host: str, service: str, kind: str, home_regions: list[str]) -> Route:
-    """A route, and its row in the configuration."""
+    """Return a route with its row of the configuration."""
     row = platform_documents.route(
         name,
         host_name=host,
@@ -67,7 +67,7 @@
 
 
 class Soak:
-    """The parts of a soak, and what they share."""
+    """Holds the parts of a soak and the state that they share."""
 
     def __init__(self, seed: int, seconds: float, cores: int = 3, edges: int = 3) -> None:
         self.seed, self.seconds = seed, seconds
@@ -85,13 +85,14 @@
         self.routes_of_host = {host: [route for route in ROUTES if route.host == host] for host in self.hosts}
         self.directory = soak_clients.Directory(self, self.zones, self.hosts)
         self.endpoints: list[soak_endpoints.SoakEndpoint] = []
-        # Beside that of the processes, which may fill theirs; other soaks may run beside this one.
+        # A network of its own, because the addresses of the processes may fill theirs; random, because other soaks may run
+        # at the same time.
         self.endpoint_network = deployment.draw_network()
         # When each process was started.
         self.starts: dict[str, list[float]] = {keeper.process.name: [] for keeper in self.keepers}
 
     def starts_of(self, ingress: str) -> int:
-        """How often the process at a front has been started."""
+        """Return how often the process at an ingress has been started."""
         return next((keeper.starts for keeper in self.edges if keeper.process.ingress == ingress), 0)
 
     # -- calls ------------------------------------------------------------------
@@ -99,14 +100,14 @@
     async def call(
         self, address: str, method: str, path: str, document: typing.Any = None
     ) -> http_calls.Response | None:
-        """A call on a connection of its own; None where there is no answer."""
+        """Make a call over its own connection; return None without a response."""
         try:
             return await asyncio.to_thread(http_calls.call, address, method, path, document, timeout_s=CALL_TIMEOUT_S)
         except (OSError, http.client.HTTPException):
             return None
 
     async def call_control(self, method: str, path: str, document: typing.Any = None) -> int:
-        """A call to any control node, again until the answer is clear; its status, 0 where none ever was."""
+        """Call random control nodes until a response is conclusive; return its status, or 0 if none was."""
         loop = asyncio.get_running_loop()
         end = loop.time() + CONTROL_LIMIT_S
         while loop.time() < end and not self.is_over:
@@ -118,24 +119,24 @@
         return 0
 
     async def change(self, upserts: dict[str, typing.Any], removals: dict[str, typing.Any]) -> None:
-        """Change the configuration, and note what was acknowledged."""
+        """Change the configuration, and record the acknowledged items."""
         status = await self.call_control('PATCH', '/v1/configuration', {'upserts': upserts, 'removals': removals})
         if status == 200:
             for row in upserts.get('route_list', ()):
-                self.note_item(row['name'], row['version_number'], row)
+                self.record_item(row['name'], row['version_number'], row)
             for row in removals.get('route_list', ()):
-                self.note_item(row['name'], row['version_number'], None)
+                self.record_item(row['name'], row['version_number'], None)
         elif status:
-            self.notes.faults.append(f'a proper change was refused with {status}: {upserts} {removals}')
+            self.notes.faults.append(f'a valid change was refused with {status}: {upserts} {removals}')
 
-    def note_item(self, name: str, version: int, row: dict | None) -> None:
-        """An item was acknowledged; the highest version holds."""
+    def record_item(self, name: str, version: int, row: dict | None) -> None:
+        """Record an acknowledged item, unless a higher version is recorded."""
         known = self.notes.acknowledged.get(name)
         if known is None or known.version < version:
             self.notes.acknowledged[name] = soak_notes.AcknowledgedChange(version, row)
 
     async def add_endpoint(self, service: str, zone: str) -> None:
-        """Start an endpoint on an address that no other had."""
+        """Start an endpoint on an address that no other endpoint has had."""
         number = len(self.endpoints)
         address = f'{self.endpoint_network}.{FIRST_ENDPOINT + number}:{soak_endpoints.PORT}'
         rng = random.Random(f'{self.seed}/endpoint{number}')
@@ -153,11 +154,11 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + READY_LIMIT_S * deployment_client.contention()
         while not await condition():
-            assert loop.time() < end, f'waited in vain for {what}; logs are in {self.deployment.folder}'
+            assert loop.time() < end, f'timed out waiting for {what}; logs are in {self.deployment.folder}'
             await asyncio.sleep(CONTROL_RETRY_S)
 
     async def all_ready(self) -> bool:
-        """Whether all proxies are ready."""
+        """Return True if all proxies are ready."""
         responses = await asyncio.gather(
             *(self.call(keeper.process.readiness, 'GET', '/v1/readiness') for keeper in self.edges)
         )
@@ -176,7 +177,7 @@
                 await self.add_endpoint(service, self.zones[number % len(self.zones)])
 
     async def run(self) -> list[str]:
-        """Play the soak; its findings."""
+        """Run the soak from its start, and return its findings."""
         try:
             await self.start()
             return await self.play()
@@ -185,10 +186,10 @@
                 await each.end()
 
     async def play(self) -> list[str]:
-        """Play what follows once everything has started; its findings."""
+        """Run the clients and disturbances after everything has started, and return the findings."""
         loop = asyncio.get_running_loop()
         watchers = [loop.create_task(keeper.keep()) for keeper in self.keepers]
-        watchers.append(loop.create_task(self.directory.keep_asking()))
+        watchers.append(loop.create_task(self.directory.keep_resolving()))
         watchers.append(loop.create_task(self.measure_lag()))
         clients = [
             loop.create_task(soak_clients.SoakClient(self, number, self.zones[number % len(self.zones)]).run())
@@ -200,12 +201,12 @@
         await asyncio.sleep(WARM_UP_S)
         self.is_over = True
         await asyncio.gather(*clients, *watchers)
-        await self.judge_end()
-        judge = verdicts.Judge(self.notes, HOMES, self.regions, self.starts, deployment_client.contention())
-        return judge.verdicts()
+        await self.check_end_state()
+        checker = verdicts.RecordChecker(self.notes, HOMES, self.regions, self.starts, deployment_client.contention())
+        return checker.findings()
 
     async def measure_lag(self) -> None:
-        """Note by how much the loop is late, which clients and endpoints are then, too."""
+        """Record the lag of the event loop, which also delays clients and endpoints."""
         while not self.is_over:
             asked_at = soak_notes.now()
             await asyncio.sleep(LAG_INTERVAL_S)
@@ -213,18 +214,18 @@
             if lag_s > LAG_INTERVAL_S:
                 self.notes.lags.append((soak_notes.now(), lag_s))
 
-    async def judge_end(self) -> None:
-        """Look at what is left once nobody asks for anything: nothing acknowledged is missing, nothing is held."""
+    async def check_end_state(self) -> None:
+        """Check the idle processes: no acknowledged item is missing, and no proxy still holds a request."""
         await asyncio.sleep(IDLE_S)
         for keeper in self.edges:
             response = await self.call(keeper.process.internal, 'GET', '/v1/self')
             if response is None:
-                self.notes.faults.append(f'{keeper.process.name} does not answer')
+                self.notes.faults.append(f'{keeper.process.name} does not respond')
                 continue
             state = response.document['state']
             if state['table'] or state['host'].get('broke'):
                 self.notes.faults.append(f'{keeper.process.name} holds {state["table"]} requests, {state["host"]}')
-        self.judge_configuration(await self.read_configuration())
+        self.check_configuration(await self.read_configuration())
         for keeper in self.keepers:
             with open(keeper.process.log_file, encoding='utf-8', errors='replace') as log:
                 text = log.read()
@@ -232,7 +233,7 @@
                 self.notes.faults.append(f'{keeper.process.name} logged a traceback: {self.deployment.folder}')
 
     async def read_configuration(self) -> dict[str, typing.Any] | None:
-        """The newest configuration; None where no control node gives it."""
+        """Return the newest configuration, or None if no control node returns it."""
         for _ in range(20):
             for core in self.cores:
                 response = await self.call(core.process.control, 'GET', '/v1/configuration')
@@ -241,8 +242,8 @@
             await asyncio.sleep(0.5)
         return None
 
-    def judge_configuration(self, document: dict[str, typing.Any] | None) -> None:
-        """Every acknowledged item is there, or a newer one that had no clear answer."""
+    def check_configuration(self, document: dict[str, typing.Any] | None) -> None:
+        """Check that every acknowledged item is present, or a newer version whose change had no conclusive response."""
         if document is None:
             self.notes.faults.append('the configuration can not be read back')
             return
@@ -256,17 +257,17 @@
 
 
 class Result(typing.NamedTuple):
-    """What a soak came to."""
+    """The findings and records of a soak."""
 
     findings: list[str]
     notes: soak_notes.Notes
-    # Where its processes' logs are; '' once they are removed.
+    # The folder with the logs of its processes; '' once it is removed.
     folder: str
     began: float
 
 
 def play(seed: int, seconds: float, cores: int = 3, edges: int = 3) -> Result:
-    """Play one soak from its start to its end; the logs stay where there are findings."""
+    """Run one soak from start to end; the logs are removed if there are no findings."""
     soak = Soak(seed, seconds, cores, edges)
     began = soak_notes.now()
     try:
--- a/features/support/soak/verdicts.py
+++ b/features/support/soak/verdicts.py
@@ -1,4 +1,4 @@
-"""What must not have happened in a soak, from its notes alone."""
+"""Checks of the records of a soak for violated guarantees; the records are the only input."""
 
 import collections
 import collections.abc
@@ -6,28 +6,28 @@
 
 import features.support.soak.notes as soak_notes
 
-# How long around trouble of a process nothing is promised of it.
+# No guarantee holds for a process within this time of an unplanned disturbance.
 CONTACT_S = 5.0
-# From when a process has read a request until it may end its connection without an answer, and from when a client has
-# left until nobody works for it; real processes beside others need more than the platform's bounds.
+# How long after reading a request a process may close its connection without a response, and how long after a client
+# has disconnected its request may still run. Real processes on a shared machine need more than the platform's bounds.
 LOSS_SLACK_S = 0.2
-LEFT_S = 0.5
-# How young a process may be that ends by a signal it can not take yet.
-YOUNG_S = 5.0
-PROMISES = (408, 421, 429, 503)
+DISCONNECT_SLACK_S = 0.5
+# A process that started less than this ago may exit on a signal that it does not handle yet.
+STARTUP_S = 5.0
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 UNPLANNED = (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT)
-LATE_MOST = 3
+MAX_LATE_RUNS = 3
 
 Notes = soak_notes.Notes
 
 
-class Judge:
-    """Looks at the notes of a soak.
+class RecordChecker:
+    """Checks the records of a soak.
 
     :param homes: {host: the regions of its routes that have homes}.
-    :param regions: {address of a front, or zone: its region}.
-    :param contention: how many want each processor, 1 at the least: bounds in real time mean so much more.
-    :param starts: {name of a process: when it was started}.
+    :param regions: {address of an ingress, or zone: its region}.
+    :param contention: how many processes compete for each processor, at least 1; multiplies bounds in real time.
+    :param starts: {name of a process: the times when it was started}.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
             if sent.number in UNPLANNED:
                 self.unplanned[sent.ingress].append(sent.at)
 
-    def verdicts(self) -> list[str]:
-        """All findings."""
+    def findings(self) -> list[str]:
+        """Return the findings of all checks."""
         checks: tuple[collections.abc.Callable[[], list[str]], ...] = (
             self.mixed,
             self.twice,
@@ -63,25 +63,25 @@
         return findings + [f'fault: {text}' for text in self.notes.faults]
 
     def slack_s(self, bound_s: float, begin: float, end: float) -> float:
-        """A bound in real time, with what the machine and the soak's own loop were late by between two times."""
+        """Return a bound in real time, extended by the contention and by the lag of the soak's loop between two times."""
         lags = [lag_s for at, lag_s in self.notes.lags if begin <= at <= end + lag_s]
         return bound_s * self.contention + 2 * max(lags, default=0.0)
 
     def is_calm(self, attempt: soak_notes.Attempt) -> bool:
-        """Whether the process at an attempt's front had no unplanned trouble around it."""
+        """Return True if the process at an attempt's ingress had no unplanned disturbance around that time."""
         end = attempt.ended_at or attempt.sent_at
         return not any(attempt.sent_at - CONTACT_S <= at <= end for at in self.unplanned[attempt.ingress])
 
     def mixed(self) -> list[str]:
-        """A success without the seal, or with another body than its endpoint's for this very attempt."""
+        """Find successes without the seal, or with a body other than the endpoint's for this attempt."""
         return [
-            f'{attempt.id} got a success that is not its own'
+            f'{attempt.id} got the success of another attempt'
             for attempt in self.notes.attempts.values()
             if attempt.status == 200 and not attempt.is_sealed
         ]
 
     def twice(self) -> list[str]:
-        """What may run once runs twice."""
+        """Find non-idempotent requests that were executed more than once."""
         return [
             f'{attempt.id} ran {len(self.runs[attempt.id])} times'
             for attempt in self.notes.attempts.values()
@@ -89,25 +89,25 @@
         ]
 
     def refused(self) -> list[str]:
-        """A status promises that what may run once has not run, and it has."""
+        """Find non-idempotent requests that were executed although the status says they were not."""
         return [
-            f'{attempt.id} was answered {attempt.status}, and ran'
+            f'{attempt.id} got {attempt.status}, and was executed'
             for attempt in self.notes.attempts.values()
-            if attempt.runs_once and attempt.status in PROMISES and self.runs[attempt.id]
+            if attempt.runs_once and attempt.status in NOT_EXECUTED_STATUSES and self.runs[attempt.id]
         ]
 
     def unasked(self) -> list[str]:
-        """Something runs that no client sent."""
+        """Find executed requests that no client sent."""
         return [f'ran {run.attempt_id}' for run in self.notes.runs if run.attempt_id not in self.notes.attempts]
 
     def lost(self) -> list[str]:
-        """A connection ends without a whole answer, and its process had no unplanned trouble.
+        """Find connections that end without a complete response, although their process had no unplanned disturbance.
 
-        Either it has been passed on to an endpoint that did not crash, or it was read for longer than the slack.
+        Either the request was forwarded to an endpoint that did not crash, or the proxy had it for longer than the slack.
         """
         findings = []
         for attempt in self.notes.attempts.values():
-            if not attempt.fault or attempt.left_at is not None or not self.is_calm(attempt):
+            if not attempt.fault or attempt.disconnected_at is not None or not self.is_calm(attempt):
                 continue
             runs = self.runs[attempt.id]
             if any(run.how == 'crashed' for run in runs):
@@ -117,24 +117,28 @@
             if runs or took_s > self.slack_s(LOSS_SLACK_S, attempt.sent_at, attempt.ended_at):
                 findings.append(
                     f'{attempt.id} of {attempt.route} at {attempt.ingress} ended with {attempt.fault} after'
-                    f' {took_s:.3f} s, {"passed on" if runs else "not passed on"}'
+                    f' {took_s:.3f} s, {"forwarded" if runs else "not forwarded"}'
                 )
         return findings
 
     def gone(self) -> list[str]:
-        """Work for clients that have left, in more than a few cases: requests that run on, or that begin to."""
+        """Find requests that run on or start after their clients have disconnected, if there are more than a few."""
         findings = []
         for attempt in self.notes.attempts.values():
-            if attempt.left_at is None or attempt.runs_once or not self.is_calm(attempt):
+            if attempt.disconnected_at is None or attempt.runs_once or not self.is_calm(attempt):
                 continue
-            bound_s = self.slack_s(LEFT_S, attempt.left_at, attempt.left_at + LEFT_S)
+            bound_s = self.slack_s(
+                DISCONNECT_SLACK_S, attempt.disconnected_at, attempt.disconnected_at + DISCONNECT_SLACK_S
+            )
             for run in self.runs[attempt.id]:
-                if (run.ended_at or float('inf')) > attempt.left_at + bound_s and run.how != 'crashed':
-                    findings.append(f'{attempt.id} was worked on for over {bound_s:.2f} s after its client had left')
-        return findings if len(findings) > LATE_MOST else []
+                if (run.ended_at or float('inf')) > attempt.disconnected_at + bound_s and run.how != 'crashed':
+                    findings.append(
+                        f'{attempt.id} was executed for over {bound_s:.2f} s after its client had disconnected'
+                    )
+        return findings if len(findings) > MAX_LATE_RUNS else []
 
     def led_away(self) -> list[str]:
-        """A lookup names a region that is neither the client's nor home, and beside it one that is."""
+        """Find lookups that name a region that is neither the client's nor a home, next to one that is."""
         findings = []
         for lookup in self.notes.lookups:
             homes = self.homes.get(lookup.host)
@@ -147,13 +151,15 @@
         return findings
 
     def ended(self) -> list[str]:
-        """A process ends by itself, or not with code 0 after a SIGTERM."""
+        """Find processes that exit by themselves, or with a code other than 0 after SIGTERM."""
         findings = []
         for end in self.notes.ends:
             started_at = max((at for at in self.starts[end.name] if at <= end.at), default=0.0)
-            is_young = end.at - started_at < YOUNG_S * self.contention
-            if end.by_signal is None and not (is_young and end.code == -signal.SIGHUP):
-                findings.append(f'{end.name} ended by itself with {end.code}')
-            elif end.by_signal == signal.SIGTERM and end.code != 0 and not (is_young and end.code == -signal.SIGTERM):
-                findings.append(f'{end.name} ended with {end.code} after SIGTERM')
+            is_starting = end.at - started_at < STARTUP_S * self.contention
+            if end.by_signal is None and not (is_starting and end.code == -signal.SIGHUP):
+                findings.append(f'{end.name} exited by itself with {end.code}')
+            elif (
+                end.by_signal == signal.SIGTERM and end.code != 0 and not (is_starting and end.code == -signal.SIGTERM)
+            ):
+                findings.append(f'{end.name} exited with {end.code} after SIGTERM')
         return findings
