--- a/features/run.py
+++ b/features/run.py
@@ -1,10 +1,11 @@
-"""Runs every feature, several at a time, and closes with a count.
+"""Runs the features, several at a time, and prints the counts of their scenarios.
 
   python features/run.py [FEATURE ...]
 
-Exit 0 only if something ran and nothing failed. What KNOWN-RED.txt lists is
-printed and passed over, but only while it fails by the very words given there:
-a line is FEATURE | SCENARIO | WORDS OF ITS FAILURE | CAUSE, ISSUE.
+The exit status is 0 only if a scenario ran and none failed. Scenarios listed in
+KNOWN-RED.txt are printed and do not count as failed, but only while their failure
+contains the words given there. A line of that file is
+FEATURE | SCENARIO | WORDS OF ITS FAILURE | CAUSE, ISSUE.
 """
 
 import concurrent.futures
@@ -22,7 +23,7 @@
 
 
 class KnownRed(typing.NamedTuple):
-    """A scenario that fails for a known cause: the name of its feature's file, its own, words of its failure."""
+    """A scenario that fails for a known cause: its feature file, its name, and words of its failure."""
 
     feature: str
     scenario: str
@@ -30,7 +31,7 @@
 
 
 class FeatureResult(typing.NamedTuple):
-    """How many scenarios of a feature passed and failed, the names of those that are known red, and behave's output."""
+    """The counts of passed and failed scenarios of a feature, the names of known red ones, and behave's output."""
 
     feature: str
     passed: int
@@ -40,7 +41,7 @@
 
 
 def read_known_red() -> list[KnownRed]:
-    """The lines of KNOWN-RED.txt; none without the file."""
+    """Return the entries of KNOWN-RED.txt; none without the file."""
     if not os.path.exists(KNOWN_RED_FILE):
         return []
     with open(KNOWN_RED_FILE, encoding='utf-8') as lines:
@@ -49,20 +50,20 @@
 
 
 def failure_text(scenario: dict[str, typing.Any]) -> str:
-    """The messages of all steps of a scenario that failed."""
+    """Return the messages of all failed steps of a scenario."""
     messages = [step.get('result', {}).get('error_message', '') for step in scenario.get('steps', ())]
     return ' '.join(' '.join(message) if isinstance(message, list) else message for message in messages)
 
 
 def is_known_red(feature: str, scenario: dict[str, typing.Any], known: list[KnownRed]) -> bool:
-    """Whether a scenario fails by the words that are known of it."""
+    """Return True if the failure of a scenario contains the words listed for it."""
     text = failure_text(scenario)
     name = os.path.basename(feature)
     return any(name == red.feature and scenario['name'] == red.scenario and red.words in text for red in known)
 
 
 def run_behave(feature: str) -> tuple[subprocess.CompletedProcess, list[dict[str, typing.Any]]]:
-    """(behave's process, the scenarios that it reports) of a feature."""
+    """Run behave on a feature; return (its process, the scenarios that it reports)."""
     with tempfile.NamedTemporaryFile(suffix='.json') as report:
         command = [sys.executable, '-m', 'behave', '--no-capture', '--no-summary']
         command += ['--format', 'plain', '--format', 'json', '--outfile', '/dev/stdout', '--outfile', report.name]
@@ -79,21 +80,21 @@
 
 
 def run_feature(feature: str) -> FeatureResult:
-    """Run a feature and count its scenarios."""
+    """Run a feature, and count its scenarios by result."""
     done, scenarios = run_behave(feature)
     passed = sum(1 for scenario in scenarios if scenario['status'] == 'passed')
     unsuccessful = [scenario for scenario in scenarios if scenario['status'] not in ('passed', 'skipped')]
     known = read_known_red()
     known_red = [scenario['name'] for scenario in unsuccessful if is_known_red(feature, scenario, known)]
     failed = len(unsuccessful) - len(known_red)
-    # A feature that broke before any scenario must not count as an empty one.
+    # A feature that failed before its first scenario must not count as an empty one.
     if done.returncode and not unsuccessful:
         failed = 1
     return FeatureResult(feature, passed, failed, known_red, done.stdout)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the features named, or all; the exit status."""
+    """Run the named features, or all; return the exit status."""
     features = arguments or sorted(glob.glob(os.path.join(HERE, '*.feature')))
     passed = failed = 0
     with concurrent.futures.ThreadPoolExecutor(os.cpu_count() or 2) as pool:
--- a/features/soak.py
+++ b/features/soak.py
@@ -23,19 +23,19 @@
 
 def summary(result: run.Result) -> dict[str, int]:
     """Return the counts of the records of a soak."""
-    attempts = result.notes.attempts.values()
+    attempts = result.records.attempts.values()
     counts: collections.Counter[str] = collections.Counter()
     for attempt in attempts:
         counts['left' if attempt.disconnected_at is not None else attempt.fault or str(attempt.status)] += 1
-    runs = collections.Counter(f'run {each.how or "open"}' for each in result.notes.runs)
+    runs = collections.Counter(f'run {each.how or "open"}' for each in result.records.runs)
     return {
         'attempts': len(attempts),
         **dict(sorted(counts.items())),
         **dict(sorted(runs.items())),
-        'signals': len(result.notes.signals),
-        'ends': len(result.notes.ends),
-        'disturbances': len(result.notes.events),
-        'lookups': len(result.notes.lookups),
+        'signals': len(result.records.signals),
+        'ends': len(result.records.ends),
+        'disturbances': len(result.records.events),
+        'lookups': len(result.records.lookups),
     }
 
 
@@ -59,7 +59,7 @@
         if result.findings:
             has_findings = True
             print(f'  logs in {result.folder}', flush=True)
-            print(f'  {disturbances.describe(result.notes.events, result.began)}', flush=True)
+            print(f'  {disturbances.describe(result.records.events, result.began)}', flush=True)
     return 1 if has_findings else 0
 
 
--- a/features/steps/full_days_steps.py
+++ b/features/steps/full_days_steps.py
@@ -1,4 +1,4 @@
-"""Steps of full_accra.feature and full_ukks.feature: days of large deployments at their full rates."""
+"""Steps of full_accra.feature and full_ukks.feature: scenarios of large deployments at their full size and rates."""
 
 import behave
 
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps of proof.feature: docs/proof.md names what exists, and all that exists."""
+"""Steps of proof.feature: everything that docs/proof.md names exists, and it names every checker, fault and guard."""
 
 import ast
 import glob
@@ -14,7 +14,7 @@
 import zinctrail.simulation.open_days as open_days
 
 ROOT = os.path.join(os.path.dirname(__file__), '..', '..')
-# Test tools beside the product, by their paths in the package; they may start processes.
+# Test tools in the package, which may start processes, by path.
 TOOLS = {
     'fleet/replay_processes.py',
     'fleet/processes.py',
@@ -31,19 +31,19 @@
 
 
 def read(path: str) -> str:
-    """The text of a file."""
+    """Return the text of a file."""
     with open(path) as file:
         return file.read()
 
 
 def names_in_proof() -> set[tuple[str, str]]:
-    """{(kind, name)} of all that docs/proof.md cites."""
+    """Return {(kind, name)} of everything that docs/proof.md names."""
     page = read(os.path.join(ROOT, 'docs', 'proof.md'))
     return set(re.findall(rf'`({"|".join(KINDS)}):([^`*]+)`', page))
 
 
 def guards(steps: str = 'days_steps.py') -> set[str]:
-    """The names of the guards that a step file can switch off.
+    """Return the names of the guards that a step file can switch off.
 
     They are read from the text of the file, because behave does not load step files as modules.
     """
@@ -53,12 +53,12 @@
 
 
 def open_guards() -> set[str]:
-    """The names of the guards of days with open traffic."""
+    """Return the names of the guards of scenarios with open traffic."""
     return guards('open_days_steps.py')
 
 
 def is_code(name: str) -> bool:
-    """Whether a dotted name within the package is a module, or an attribute that a module has."""
+    """Return True if a dotted name within the package is a module or an attribute of one."""
     parts = name.split('.')
     for count in range(len(parts) - 1, 0, -1):
         try:
@@ -72,7 +72,7 @@
 
 
 def features() -> set[str]:
-    """The names of all features."""
+    """Return the names of all features."""
     files = glob.glob(os.path.join(ROOT, 'features', '*.feature'))
     return {os.path.basename(file).removesuffix('.feature') for file in files}
 
--- a/features/steps/small_world_steps.py
+++ b/features/steps/small_world_steps.py
@@ -1,4 +1,4 @@
-"""Steps that several features share: the small world with traffic, and how many of its requests fail."""
+"""Steps that several features share: the small world with traffic, and the share of its requests that fail."""
 
 import behave
 
--- a/features/support/soak/clients.py
+++ b/features/support/soak/clients.py
@@ -6,7 +6,7 @@
 
 import features.support.endpoint as endpoint
 import features.support.http_calls as http_calls
-import features.support.soak.notes as soak_notes
+import features.support.soak.records as soak_records
 
 DEADLINE_MS = 4000
 # How long a client waits beyond the deadline that it sends.
@@ -42,8 +42,8 @@
             response = await self.soak.call(process.process.directory, 'GET', path)
             if response is not None and response.status == 200:
                 self.known[zone, host] = response.document['addresses']
-                self.soak.notes.lookups.append(
-                    soak_notes.Lookup(zone, host, response.document['addresses'], soak_notes.now())
+                self.soak.records.lookups.append(
+                    soak_records.Lookup(zone, host, response.document['addresses'], soak_records.now())
                 )
                 return
 
@@ -92,15 +92,15 @@
     async def attempt(self) -> None:
         """Send one request over the connection, and read its response or disconnect."""
         route = self.rng.choice(self.soak.routes_of_host[self.host])
-        attempt = soak_notes.Attempt(
-            id=self.soak.notes.new_attempt_id(),
+        attempt = soak_records.Attempt(
+            id=self.soak.records.new_attempt_id(),
             route=route.name,
             runs_once=route.runs_once,
             ingress=self.ingress,
             start=self.soak.starts_of(self.ingress),
-            sent_at=soak_notes.now(),
+            sent_at=soak_records.now(),
         )
-        self.soak.notes.attempts[attempt.id] = attempt
+        self.soak.records.attempts[attempt.id] = attempt
         method = 'POST' if route.runs_once else 'GET'
         lines = [
             f'{method} /{route.name}/x HTTP/1.1',
@@ -116,7 +116,7 @@
         try:
             response = await asyncio.wait_for(self.read_response(), wait_s)
         except TimeoutError:
-            attempt.disconnected_at = soak_notes.now()
+            attempt.disconnected_at = soak_records.now()
             attempt.fault = 'left' if disconnects else 'no response'
             self.close(reset=self.rng.random() < 0.5)
             return
@@ -125,7 +125,7 @@
             self.close(reset=False)
             return
         finally:
-            attempt.ended_at = soak_notes.now()
+            attempt.ended_at = soak_records.now()
         self.record(attempt, response)
         if 'close' in response.headers.get('connection', '').lower():
             self.close(reset=False)
@@ -138,7 +138,7 @@
         body = await self.reader.readexactly(int(response.headers.get('content-length', 0)))
         return http_calls.Response(response.status, response.headers, body)
 
-    def record(self, attempt: soak_notes.Attempt, response: http_calls.Response) -> None:
+    def record(self, attempt: soak_records.Attempt, response: http_calls.Response) -> None:
         """Record a response, and whether a success has the seal and the body of this attempt."""
         attempt.status = response.status
         if response.status == 200:
--- a/features/support/soak/disturbances.py
+++ b/features/support/soak/disturbances.py
@@ -72,7 +72,7 @@
     process = disturbances.any_process()
     if not disturbances.keeps_majority(process):
         return
-    disturbances.soak.notes.event(f'SIGTERM {process.process.name}')
+    disturbances.soak.records.event(f'SIGTERM {process.process.name}')
     process.signal(signal.SIGTERM)
     if disturbances.rng.random() < 0.3:
         await disturbances.pause(SIGNAL_GAP_S)
@@ -83,7 +83,7 @@
     """Send SIGTERM to a proxy, with other signals right before and after it."""
     process = disturbances.any_edge()
     numbers = [signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]
-    disturbances.soak.notes.event(f'SIGHUP and SIGTERM by turns {process.process.name}')
+    disturbances.soak.records.event(f'SIGHUP and SIGTERM by turns {process.process.name}')
     for number in numbers:
         process.signal(number)
         await disturbances.pause(SIGNAL_GAP_S)
@@ -92,7 +92,7 @@
 async def terminate_then_kill(disturbances: Disturbances) -> None:
     """Send SIGTERM to a proxy, and SIGKILL while it drains."""
     process = disturbances.any_edge()
-    disturbances.soak.notes.event(f'SIGTERM, SIGKILL {process.process.name}')
+    disturbances.soak.records.event(f'SIGTERM, SIGKILL {process.process.name}')
     process.signal(signal.SIGTERM)
     await disturbances.pause((0.0, 2.5))
     process.signal(signal.SIGKILL)
@@ -102,13 +102,13 @@
     """Send SIGKILL to a process."""
     process = disturbances.any_process()
     if disturbances.keeps_majority(process):
-        disturbances.soak.notes.event(f'SIGKILL {process.process.name}')
+        disturbances.soak.records.event(f'SIGKILL {process.process.name}')
         process.signal(signal.SIGKILL)
 
 
 async def kill_all(disturbances: Disturbances) -> None:
     """Send SIGKILL to all processes at once."""
-    disturbances.soak.notes.event('SIGKILL to all')
+    disturbances.soak.records.event('SIGKILL to all')
     for process in disturbances.soak.keepers:
         process.signal(signal.SIGKILL)
 
@@ -121,7 +121,7 @@
         settings['seed_nodes'] = disturbances.rng.sample(settings['seed_nodes'], len(settings['seed_nodes']))
         settings['bounds']['ttl_max_s'] = disturbances.rng.choice((3, 4, 5))
         process.process.write_settings()
-    disturbances.soak.notes.event(f'SIGHUP {process.process.name}')
+    disturbances.soak.records.event(f'SIGHUP {process.process.name}')
     process.signal(signal.SIGHUP)
 
 
@@ -130,7 +130,7 @@
     process = disturbances.any_process()
     if not disturbances.keeps_majority(process):
         return
-    disturbances.soak.notes.event(f'SIGSTOP {process.process.name}')
+    disturbances.soak.records.event(f'SIGSTOP {process.process.name}')
     process.signal(signal.SIGSTOP)
     await disturbances.pause(FREEZE_S)
     process.signal(signal.SIGCONT)
@@ -138,7 +138,7 @@
 
 async def roll_edges(disturbances: Disturbances) -> None:
     """Send SIGTERM to all proxies, one after another and faster than they restart."""
-    disturbances.soak.notes.event('SIGTERM to each proxy in turn')
+    disturbances.soak.records.event('SIGTERM to each proxy in turn')
     for process in disturbances.rng.sample(disturbances.soak.edges, len(disturbances.soak.edges)):
         process.signal(signal.SIGTERM)
         await disturbances.pause(SERIES_GAP_S)
@@ -146,7 +146,7 @@
 
 async def roll_cores(disturbances: Disturbances) -> None:
     """Send SIGTERM to all control nodes, one after another, while a majority keeps running."""
-    disturbances.soak.notes.event('SIGTERM to each control node in turn')
+    disturbances.soak.records.event('SIGTERM to each control node in turn')
     for process in disturbances.rng.sample(disturbances.soak.cores, len(disturbances.soak.cores)):
         while not disturbances.keeps_majority(process):
             await asyncio.sleep(keepers.POLL_S)
@@ -179,7 +179,7 @@
 async def evacuate(disturbances: Disturbances) -> None:
     """Evacuate a zone for a while, so that its endpoints get no requests."""
     zone = disturbances.rng.choice(disturbances.soak.zones)
-    disturbances.soak.notes.event(f'evacuation of {zone}')
+    disturbances.soak.records.event(f'evacuation of {zone}')
     await disturbances.soak.call_control('POST', f'/v1/evacuation/{zone}')
     await disturbances.pause(EVACUATION_S)
     await disturbances.soak.call_control('DELETE', f'/v1/evacuation/{zone}')
@@ -189,7 +189,7 @@
     """Start a replacement for an endpoint, then drain and stop the old one."""
     soak = disturbances.soak
     old = disturbances.rng.choice([each for each in soak.endpoints if not each.has_ended and each.state == 'available'])
-    disturbances.soak.notes.event(f'drain {old.identifier}')
+    disturbances.soak.records.event(f'drain {old.identifier}')
     await soak.add_endpoint(old.service_name, old.zone)
     await old.drain()
 
@@ -198,7 +198,7 @@
     """Crash an endpoint, then start a replacement."""
     soak = disturbances.soak
     old = disturbances.rng.choice([each for each in soak.endpoints if not each.has_ended])
-    disturbances.soak.notes.event(f'crash {old.identifier}')
+    disturbances.soak.records.event(f'crash {old.identifier}')
     await old.end()
     await soak.add_endpoint(old.service_name, old.zone)
 
--- a/features/support/soak/endpoints.py
+++ b/features/support/soak/endpoints.py
@@ -8,7 +8,7 @@
 
 import features.support.endpoint as endpoint
 import features.support.platform_documents as platform_documents
-import features.support.soak.notes as soak_notes
+import features.support.soak.records as soak_records
 
 HEARTBEAT_S = 1.0
 PORT = 8080
@@ -116,7 +116,7 @@
             self.heartbeats.cancel()
         if self.server is not None:
             self.server.close()
-        for run in self.soak.notes.runs:
+        for run in self.soak.records.runs:
             if run.identifier == self.identifier and run.ended_at is None:
                 run.how = 'crashed'
         for connection in list(self.connections):
@@ -133,15 +133,15 @@
         if expected not in (None, self.identifier):
             connection.respond(421, {'Zinctrail-Attempt-Id': attempt_id, 'Zinctrail-Not-Executed': '1'})
             return
-        run = soak_notes.Run(attempt_id, self.identifier, soak_notes.now())
-        self.soak.notes.runs.append(run)
+        run = soak_records.Run(attempt_id, self.identifier, soak_records.now())
+        self.soak.records.runs.append(run)
         bounds_ms = LONG_WORK_MS if self.rng.random() < LONG_SHARE else WORK_MS
         try:
             await asyncio.sleep(self.rng.uniform(*bounds_ms) / 1000)
         except asyncio.CancelledError:
-            run.ended_at, run.how = soak_notes.now(), run.how or 'dropped'
+            run.ended_at, run.how = soak_records.now(), run.how or 'dropped'
             raise
-        run.ended_at, run.how = soak_notes.now(), 'answered'
+        run.ended_at, run.how = soak_records.now(), 'answered'
         body = json.dumps({'by': self.identifier, 'id': attempt_id, 'path': request['path']}).encode()
         headers = {'Zinctrail-Attempt-Id': attempt_id, 'Zinctrail-Server-Seal': endpoint.seal_of(attempt_id, body)}
         if self.state != 'available':
--- a/features/support/soak/keepers.py
+++ b/features/support/soak/keepers.py
@@ -6,7 +6,7 @@
 
 import features.support.deployment as deployment
 import features.support.deployment_client as deployment_client
-import features.support.soak.notes as soak_notes
+import features.support.soak.records as soak_records
 
 POLL_S = 0.02
 RESTART_S = (0.1, 0.6)
@@ -27,7 +27,7 @@
         """Start the process."""
         self.starts += 1
         self.ended_by = None
-        self.soak.starts[self.process.name].append(soak_notes.now())
+        self.soak.starts[self.process.name].append(soak_records.now())
         self.process.start()
 
     def signal(self, number: int) -> None:
@@ -36,10 +36,10 @@
             return
         # SIGKILL also stops a process that is shutting down already; SIGTERM changes nothing for such a process.
         if number == signal.SIGKILL or (number == signal.SIGTERM and self.ended_by is None):
-            self.signalled_at = soak_notes.now()
+            self.signalled_at = soak_records.now()
             self.ended_by = number
-        self.soak.notes.signals.append(
-            soak_notes.Signal(self.process.name, self.process.ingress, number, soak_notes.now())
+        self.soak.records.signals.append(
+            soak_records.Signal(self.process.name, self.process.ingress, number, soak_records.now())
         )
         self.process.signal(number)
 
@@ -53,15 +53,15 @@
             if code is not None:
                 await self.restart(code)
             elif self.ended_by == signal.SIGTERM:
-                overdue_s = soak_notes.now() - self.signalled_at - grace_s * deployment_client.contention()
+                overdue_s = soak_records.now() - self.signalled_at - grace_s * deployment_client.contention()
                 if overdue_s > 0:
-                    self.soak.notes.faults.append(f'{self.process.name} did not exit within its grace period')
+                    self.soak.records.faults.append(f'{self.process.name} did not exit within its grace period')
                     self.signal(signal.SIGKILL)
 
     async def restart(self, code: int) -> None:
         """Record an exit, and restart the process."""
-        self.soak.notes.ends.append(
-            soak_notes.End(self.process.name, code, soak_notes.now(), self.ended_by, self.signalled_at)
+        self.soak.records.ends.append(
+            soak_records.End(self.process.name, code, soak_records.now(), self.ended_by, self.signalled_at)
         )
         await asyncio.sleep(self.rng.uniform(*RESTART_S))
         self.process.settings['first_start'] = False
--- a/features/support/soak/notes.py
+++ b/features/support/soak/records.py
@@ -85,7 +85,7 @@
     row: dict[str, typing.Any] | None
 
 
-class Notes:
+class Records:
     """All records of a soak."""
 
     def __init__(self) -> None:
--- a/features/support/soak/run.py
+++ b/features/support/soak/run.py
@@ -14,7 +14,7 @@
 import features.support.soak.disturbances as soak_disturbances
 import features.support.soak.endpoints as soak_endpoints
 import features.support.soak.keepers as keepers
-import features.support.soak.notes as soak_notes
+import features.support.soak.records as soak_records
 import features.support.soak.verdicts as verdicts
 
 CALL_TIMEOUT_S = 3.0
@@ -72,7 +72,7 @@
     def __init__(self, seed: int, seconds: float, cores: int = 3, edges: int = 3) -> None:
         self.seed, self.seconds = seed, seconds
         self.rng = random.Random(f'{seed}/soak')
-        self.notes = soak_notes.Notes()
+        self.records = soak_records.Records()
         self.is_over = False
         self.deployment = deployment.Deployment(cores, edges)
         self.keepers = [keepers.Keeper(self, process) for process in self.deployment.processes]
@@ -127,13 +127,13 @@
             for row in removals.get('route_list', ()):
                 self.record_item(row['name'], row['version_number'], None)
         elif status:
-            self.notes.faults.append(f'a valid change was refused with {status}: {upserts} {removals}')
+            self.records.faults.append(f'a valid change was refused with {status}: {upserts} {removals}')
 
     def record_item(self, name: str, version: int, row: dict | None) -> None:
         """Record an acknowledged item, unless a higher version is recorded."""
-        known = self.notes.acknowledged.get(name)
+        known = self.records.acknowledged.get(name)
         if known is None or known.version < version:
-            self.notes.acknowledged[name] = soak_notes.AcknowledgedChange(version, row)
+            self.records.acknowledged[name] = soak_records.AcknowledgedChange(version, row)
 
     async def add_endpoint(self, service: str, zone: str) -> None:
         """Start an endpoint on an address that no other endpoint has had."""
@@ -202,17 +202,17 @@
         self.is_over = True
         await asyncio.gather(*clients, *watchers)
         await self.check_end_state()
-        checker = verdicts.RecordChecker(self.notes, HOMES, self.regions, self.starts, deployment_client.contention())
+        checker = verdicts.RecordChecker(self.records, HOMES, self.regions, self.starts, deployment_client.contention())
         return checker.findings()
 
     async def measure_lag(self) -> None:
         """Record the lag of the event loop, which also delays clients and endpoints."""
         while not self.is_over:
-            asked_at = soak_notes.now()
+            asked_at = soak_records.now()
             await asyncio.sleep(LAG_INTERVAL_S)
-            lag_s = soak_notes.now() - asked_at - LAG_INTERVAL_S
+            lag_s = soak_records.now() - asked_at - LAG_INTERVAL_S
             if lag_s > LAG_INTERVAL_S:
-                self.notes.lags.append((soak_notes.now(), lag_s))
+                self.records.lags.append((soak_records.now(), lag_s))
 
     async def check_end_state(self) -> None:
         """Check the idle processes: no acknowledged item is missing, and no proxy still holds a request."""
@@ -220,17 +220,17 @@
         for keeper in self.edges:
             response = await self.call(keeper.process.internal, 'GET', '/v1/self')
             if response is None:
-                self.notes.faults.append(f'{keeper.process.name} does not respond')
+                self.records.faults.append(f'{keeper.process.name} does not respond')
                 continue
             state = response.document['state']
             if state['table'] or state['host'].get('broke'):
-                self.notes.faults.append(f'{keeper.process.name} holds {state["table"]} requests, {state["host"]}')
+                self.records.faults.append(f'{keeper.process.name} holds {state["table"]} requests, {state["host"]}')
         self.check_configuration(await self.read_configuration())
         for keeper in self.keepers:
             with open(keeper.process.log_file, encoding='utf-8', errors='replace') as log:
                 text = log.read()
             if 'Traceback' in text:
-                self.notes.faults.append(f'{keeper.process.name} logged a traceback: {self.deployment.folder}')
+                self.records.faults.append(f'{keeper.process.name} logged a traceback: {self.deployment.folder}')
 
     async def read_configuration(self) -> dict[str, typing.Any] | None:
         """Return the newest configuration, or None if no control node returns it."""
@@ -245,22 +245,22 @@
     def check_configuration(self, document: dict[str, typing.Any] | None) -> None:
         """Check that every acknowledged item is present, or a newer version whose change had no conclusive response."""
         if document is None:
-            self.notes.faults.append('the configuration can not be read back')
+            self.records.faults.append('the configuration can not be read back')
             return
         read = {row['name']: row for row in document['route_list']}
-        for name, change in self.notes.acknowledged.items():
+        for name, change in self.records.acknowledged.items():
             row = read.get(name)
             if row is None and change.row is not None:
-                self.notes.faults.append(f'route {name} of version {change.version} is missing')
+                self.records.faults.append(f'route {name} of version {change.version} is missing')
             elif row is not None and row['version_number'] < change.version:
-                self.notes.faults.append(f'route {name} is read back older than {change.version}')
+                self.records.faults.append(f'route {name} is read back older than {change.version}')
 
 
 class Result(typing.NamedTuple):
     """The findings and records of a soak."""
 
     findings: list[str]
-    notes: soak_notes.Notes
+    records: soak_records.Records
     # The folder with the logs of its processes; '' once it is removed.
     folder: str
     began: float
@@ -269,7 +269,7 @@
 def play(seed: int, seconds: float, cores: int = 3, edges: int = 3) -> Result:
     """Run one soak from start to end; the logs are removed if there are no findings."""
     soak = Soak(seed, seconds, cores, edges)
-    began = soak_notes.now()
+    began = soak_records.now()
     try:
         findings = asyncio.run(soak.run())
     finally:
@@ -279,4 +279,4 @@
     deployment.RUNNING.remove(soak.deployment)
     if not findings:
         shutil.rmtree(folder, ignore_errors=True)
-    return Result(findings, soak.notes, folder if findings else '', began)
+    return Result(findings, soak.records, folder if findings else '', began)
--- a/features/support/soak/verdicts.py
+++ b/features/support/soak/verdicts.py
@@ -4,7 +4,7 @@
 import collections.abc
 import signal
 
-import features.support.soak.notes as soak_notes
+import features.support.soak.records as soak_records
 
 # No guarantee holds for a process within this time of an unplanned disturbance.
 CONTACT_S = 5.0
@@ -18,7 +18,7 @@
 UNPLANNED = (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT)
 MAX_LATE_RUNS = 3
 
-Notes = soak_notes.Notes
+Records = soak_records.Records
 
 
 class RecordChecker:
@@ -32,18 +32,24 @@
 
     def __init__(
         self,
-        notes: Notes,
+        records: Records,
         homes: dict[str, set[str]],
         regions: dict[str, str],
         starts: dict[str, list[float]],
         contention: float,
     ) -> None:
-        self.notes, self.homes, self.regions, self.starts, self.contention = notes, homes, regions, starts, contention
-        self.runs: dict[str, list[soak_notes.Run]] = collections.defaultdict(list)
-        for run in notes.runs:
+        self.records, self.homes, self.regions, self.starts, self.contention = (
+            records,
+            homes,
+            regions,
+            starts,
+            contention,
+        )
+        self.runs: dict[str, list[soak_records.Run]] = collections.defaultdict(list)
+        for run in records.runs:
             self.runs[run.attempt_id].append(run)
         self.unplanned: dict[str, list[float]] = collections.defaultdict(list)
-        for sent in notes.signals:
+        for sent in records.signals:
             if sent.number in UNPLANNED:
                 self.unplanned[sent.ingress].append(sent.at)
 
@@ -60,14 +66,14 @@
             self.ended,
         )
         findings = [f'{check.__name__}: {text}' for check in checks for text in check()]
-        return findings + [f'fault: {text}' for text in self.notes.faults]
+        return findings + [f'fault: {text}' for text in self.records.faults]
 
     def slack_s(self, bound_s: float, begin: float, end: float) -> float:
         """Return a bound in real time, extended by the contention and by the lag of the soak's loop between two times."""
-        lags = [lag_s for at, lag_s in self.notes.lags if begin <= at <= end + lag_s]
+        lags = [lag_s for at, lag_s in self.records.lags if begin <= at <= end + lag_s]
         return bound_s * self.contention + 2 * max(lags, default=0.0)
 
-    def is_calm(self, attempt: soak_notes.Attempt) -> bool:
+    def is_calm(self, attempt: soak_records.Attempt) -> bool:
         """Return True if the process at an attempt's ingress had no unplanned disturbance around that time."""
         end = attempt.ended_at or attempt.sent_at
         return not any(attempt.sent_at - CONTACT_S <= at <= end for at in self.unplanned[attempt.ingress])
@@ -76,7 +82,7 @@
         """Find successes without the seal, or with a body other than the endpoint's for this attempt."""
         return [
             f'{attempt.id} got the success of another attempt'
-            for attempt in self.notes.attempts.values()
+            for attempt in self.records.attempts.values()
             if attempt.status == 200 and not attempt.is_sealed
         ]
 
@@ -84,7 +90,7 @@
         """Find non-idempotent requests that were executed more than once."""
         return [
             f'{attempt.id} ran {len(self.runs[attempt.id])} times'
-            for attempt in self.notes.attempts.values()
+            for attempt in self.records.attempts.values()
             if attempt.runs_once and len(self.runs[attempt.id]) > 1
         ]
 
@@ -92,13 +98,13 @@
         """Find non-idempotent requests that were executed although the status says they were not."""
         return [
             f'{attempt.id} got {attempt.status}, and was executed'
-            for attempt in self.notes.attempts.values()
+            for attempt in self.records.attempts.values()
             if attempt.runs_once and attempt.status in NOT_EXECUTED_STATUSES and self.runs[attempt.id]
         ]
 
     def unasked(self) -> list[str]:
         """Find executed requests that no client sent."""
-        return [f'ran {run.attempt_id}' for run in self.notes.runs if run.attempt_id not in self.notes.attempts]
+        return [f'ran {run.attempt_id}' for run in self.records.runs if run.attempt_id not in self.records.attempts]
 
     def lost(self) -> list[str]:
         """Find connections that end without a complete response, although their process had no unplanned disturbance.
@@ -106,7 +112,7 @@
         Either the request was forwarded to an endpoint that did not crash, or the proxy had it for longer than the slack.
         """
         findings = []
-        for attempt in self.notes.attempts.values():
+        for attempt in self.records.attempts.values():
             if not attempt.fault or attempt.disconnected_at is not None or not self.is_calm(attempt):
                 continue
             runs = self.runs[attempt.id]
@@ -124,7 +130,7 @@
     def gone(self) -> list[str]:
         """Find requests that run on or start after their clients have disconnected, if there are more than a few."""
         findings = []
-        for attempt in self.notes.attempts.values():
+        for attempt in self.records.attempts.values():
             if attempt.disconnected_at is None or attempt.runs_once or not self.is_calm(attempt):
                 continue
             bound_s = self.slack_s(
@@ -140,7 +146,7 @@
     def led_away(self) -> list[str]:
         """Find lookups that name a region that is neither the client's nor a home, next to one that is."""
         findings = []
-        for lookup in self.notes.lookups:
+        for lookup in self.records.lookups:
             homes = self.homes.get(lookup.host)
             if not homes:
                 continue
@@ -153,7 +159,7 @@
     def ended(self) -> list[str]:
         """Find processes that exit by themselves, or with a code other than 0 after SIGTERM."""
         findings = []
-        for end in self.notes.ends:
+        for end in self.records.ends:
             started_at = max((at for at in self.starts[end.name] if at <= end.at), default=0.0)
             is_starting = end.at - started_at < STARTUP_S * self.contention
             if end.by_signal is None and not (is_starting and end.code == -signal.SIGHUP):
