--- a/features/support/deployment_client.py
+++ b/features/support/deployment_client.py
@@ -47,13 +47,19 @@
         time.sleep(LEASE_POLL_S)
 
 
-def send_request(ingress: str, route: str = 'r1', left_ms: int = 10000, **options) -> http_calls.Response:
+def send_request(ingress: str, route: str = 'r1', remaining_ms: int = 10000, **options) -> http_calls.Response:
     """Send a request on a route; return the response with its attempt id, with status 0 if the connection was lost."""
 
     def send(attempt_id):
         try:
             response = http_calls.send_attempt(
-                ingress, HOST, f'/{route}/x', attempt_id, left_ms=left_ms, timeout_s=RESPONSE_TIMEOUT_S, **options
+                ingress,
+                HOST,
+                f'/{route}/x',
+                attempt_id,
+                remaining_ms=remaining_ms,
+                timeout_s=RESPONSE_TIMEOUT_S,
+                **options,
             )
         except http_calls.ConnectionLostError as fault:
             response = http_calls.Response(0, {}, str(fault).encode())
@@ -101,7 +107,7 @@
 
 def wait_for_resolutions(edges: list[deployments.AdapterProcess], what: str, limit_s: float = 60) -> None:
     """Wait until each control node resolves exactly the addresses of these proxies."""
-    wanted = [sorted(process.front for process in edges)] * len(running().cores)
+    wanted = [sorted(process.ingress for process in edges)] * len(running().cores)
     running().wait_until(lambda: resolutions() == wanted, what, limit_s)
 
 
