--- a/zinctrail/consensus/bootstrap.py
+++ b/zinctrail/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""When the control nodes that are there may form a cluster: nobody lists the first ones."""
+"""Decides when the control nodes found by discovery may form a cluster; no list of initial nodes is configured."""
 
 import dataclasses
 import datetime
@@ -13,27 +13,29 @@
 import zinctrail.runtime.parsing as parsing
 import zinctrail.runtime.settings as settings
 
-# How many seeds of another process are taken up: its list is short, and what it may make us probe is bounded.
+# The number of seeds accepted from another process, which bounds what it can make this node probe; real lists are
+# shorter.
 SEEDS_MOST = 16
-# What other processes said of their seeds counts for so many probe intervals.
+# The number of probe intervals for which the seeds that another process named are counted.
 NAMED_SEEDS_FOR_PROBES = 10
-# In so many discovery rounds in a row all must agree on the set before a cluster is formed.
+# The number of consecutive discovery rounds in which all control nodes must agree on the set before they form a
+# cluster.
 STABLE_ROUNDS = 4
-# The same where there is something to wait for: more nodes, or the leader of a cluster that forms.
+# The same if there is something to wait for: more nodes, or the leader of a cluster that is being formed.
 LATE_STABLE_ROUNDS = 25
-# In one of so many rounds it is logged why no cluster is formed.
+# The reason why no cluster is formed is logged once in this many rounds.
 ROUNDS_PER_LOG = 25
 SILENT_SEEDS_LOGGED = 10
 
 
 @dataclasses.dataclass(slots=True)
 class ProbeView:
-    """What a node said in its last ProbeResponse."""
+    """The last ProbeResponse of a node."""
 
     heard_at: datetime.timedelta
-    # The control nodes that answer it.
+    # The control nodes that are reachable from it.
     answering: list[str]
-    # All control nodes that it heard of, if it is without state.
+    # All control nodes that it has seen or that others reported to it, if it is without state.
     view: list[str] | None
     has_enough_seeds: bool
     cluster: str
@@ -41,20 +43,20 @@
     promise_number: int
 
     def knows_cluster(self) -> bool:
-        """Whether the node belongs to a cluster that has formed, or may have."""
+        """True if the node belongs to a cluster that has formed, or may have."""
         return bool(self.cluster) and self.view is None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NamedSeeds:
-    """The seeds that a process named."""
+    """The seeds that a process reported as its own."""
 
     heard_at: datetime.timedelta
     addresses: list[str]
 
 
 class SeedCounts(typing.NamedTuple):
-    """How many of all namings of seeds answer, how many namings there are, and the silent seeds."""
+    """Counts of the seeds that all processes name, and the unreachable ones; a seed counts once per process naming it."""
 
     answering: int
     named: int
@@ -62,7 +64,7 @@
 
 
 class DiscoveringVoter(typing.Protocol):
-    """What Bootstrap needs of the voter that it belongs to."""
+    """The interface of the voter that Bootstrap uses."""
 
     node: str
     now: datetime.timedelta
@@ -74,49 +76,49 @@
     discovery_rounds: int
 
     def is_forming(self) -> bool:
-        """Whether this node belongs to no cluster that has formed, as far as it knows."""
+        """True if this node knows of no fully formed cluster that it belongs to."""
 
     def answering_control_nodes(self) -> dict[str, str]:
-        """The control nodes that were heard lately: {node: address}."""
+        """Return the control nodes seen recently: {node: address}."""
 
     def is_answering(self, address: str) -> bool:
-        """Whether the node at an address was heard lately."""
+        """True if the node at an address was seen recently."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
 
 class Bootstrap:
-    """What a voter hears of the other control nodes, and when they form a cluster together."""
+    """Collects what other control nodes report, and decides when they form a cluster together."""
 
     def __init__(self, voter: DiscoveringVoter):
         self.voter = voter
         self.restart()
 
     def restart(self):
-        """Begin anew, as in a node that knows of no others yet."""
-        # What each node said last: {node: view}.
+        """Reset to the state of a node that knows no others yet."""
+        # The last probe response of each node: {node: view}.
         self.probe_views: dict[str, ProbeView] = {}
-        # Which seeds each process heard of was given, while this node is without state: {its address: seeds}.
+        # The seeds that each process reported while this node is without state: {address of the process: seeds}.
         self.named_seeds: dict[str, NamedSeeds] = {}
-        # The control nodes heard of in the last round, and in how many rounds all agreed on just these.
+        # The control nodes known in the last round, and the number of rounds in which all agreed on this set.
         self.last_view: list[str] | None = None
         self.stable_rounds = 0
 
-    # -- what others say --------------------------------------------------
+    # -- reports of other nodes -------------------------------------------
 
     def note_named_seeds(self, message: messages.Probe | messages.ProbeResponse):
-        """Remember the seeds that another process names, while this node belongs to no cluster that has formed."""
+        """Record the seeds that another process names, unless this node belongs to a formed cluster."""
         if self.voter.is_forming():
             seeds = [seed for seed in message.seeds or () if parsing.is_address(seed)][:SEEDS_MOST]
             self.named_seeds[codec.sender_of(message).address] = NamedSeeds(self.voter.now, seeds)
 
     def forget_named_seeds(self):
-        """Forget the seeds that others named: this node has state now."""
+        """Discard the seeds that others named, as this node has state now."""
         self.named_seeds = {}
 
     def note_probe_response(self, message: messages.ProbeResponse):
-        """Remember what a node said of the control nodes and the seeds that it knows."""
+        """Record the control nodes and the formation state that a node reported in its probe response."""
         self.probe_views[codec.sender_of(message).node] = ProbeView(
             self.voter.now,
             [node for _, node, answers in message.control_nodes if node and answers],
@@ -128,41 +130,41 @@
         )
 
     def forget_old_views(self):
-        """Forget what nodes said that were not heard for long."""
+        """Discard the reports of nodes not seen for the setting `remember`."""
         oldest = self.voter.now - self.voter.settings.remember
         for node in [node for node, view in self.probe_views.items() if view.heard_at < oldest]:
             del self.probe_views[node]
 
     def all_named_seeds(self) -> list[str]:
-        """Every naming of a seed by a process heard lately, of any role, ourselves included."""
+        """Return the seeds named by all processes of any role seen recently, including this one, with repetitions."""
         oldest = self.voter.now - self.voter.settings.probe * NAMED_SEEDS_FOR_PROBES
         named = [seed for seeds in self.named_seeds.values() if seeds.heard_at >= oldest for seed in seeds.addresses]
         return named + list(self.voter.location.seeds)
 
     def fresh_views(self) -> dict[str, ProbeView]:
-        """What the nodes said that answered lately."""
+        """Return the probe responses that came recently, by node."""
         oldest = self.voter.now - self.voter.settings.probe * discovery.ANSWERS_FOR_PROBES
         return {node: view for node, view in self.probe_views.items() if view.heard_at >= oldest}
 
     def control_nodes_heard(self) -> list[str]:
-        """Every control node that we or anyone who answers us has heard of lately."""
+        """Return the sorted control nodes that this node or any reachable control node has seen recently."""
         nodes = {self.voter.node} | set(self.voter.answering_control_nodes())
         for view in self.fresh_views().values():
             nodes |= set(view.answering)
         return sorted(nodes)
 
     def seed_counts(self) -> SeedCounts:
-        """How many of the seeds that anybody names answer."""
+        """Count the reachable and the unreachable seeds among those that any process names."""
         named = self.all_named_seeds()
         own = self.voter.location.addr
         silent = [seed for seed in named if seed != own and not self.voter.is_answering(seed)]
         return SeedCounts(len(named) - len(silent), len(named), sorted(set(silent)))
 
     def has_enough_seeds(self) -> bool:
-        """Whether two thirds of all namings of seeds answer.
+        """True if at least two thirds of the seeds, each counted once per process that names it, are reachable.
 
-        Two groups that can't see each other can't both have as many of what their
-        own members name, unless their members were given different seeds
+        Two groups that cannot reach each other cannot both reach two thirds of the
+        seeds named by their own members, unless their members were given different seeds
         (docs/notes/membership.md).
         """
         counts = self.seed_counts()
@@ -171,19 +173,19 @@
     # -- forming a cluster ------------------------------------------------
 
     def run_round(self):
-        """In each discovery round of a candidate: form a cluster, or spread the first version of a new one."""
+        """Try to form a cluster, or distribute the first version of a new one; runs in each round of a candidate."""
         if self.voter.replica.accepted == formation.FIRST_VERSION:
             self.voter.formation.spread_first_version()
         if self.voter.is_forming():
             self.try_to_form()
 
     def try_to_form(self):
-        """Form a cluster once all control nodes have agreed on the set for some rounds.
+        """Propose a cluster once all control nodes have agreed on the set for enough rounds.
 
-        Seeds stand in for a list of initial nodes, which nobody gives us, so
-        enough of them must answer, no node may know a cluster, and all must have
-        heard of the same set. The first of those that may form a cluster proposes it
-        to the others (formation.py); the rest of the set joins it later.
+        The seeds replace a configured list of initial nodes. Therefore enough seeds
+        must be reachable, no node may know of a cluster, and all nodes must have
+        seen the same set. The first of the nodes that may form a cluster proposes
+        it to the others of these (formation.py); the rest of the set joins it later.
         """
         view = self.control_nodes_heard()
         agrees = self.all_agree_on(view)
@@ -197,11 +199,12 @@
             self.voter.formation.propose(founders)
 
     def may_propose(self, view: list[str], founders: list[str]) -> bool:
-        """Whether the control nodes have agreed for long enough, and enough of them may form a cluster.
+        """True if the control nodes have agreed for enough rounds, and enough of them may form a cluster.
 
-        Those that may are more than half: two seeds without their disks and a third one would be enough seeds, and
-        still see little of the system. A set too small to bear the losses that it has to waits for more nodes, and
-        a cluster whose first version some of them have is given time to elect a leader.
+        More than half must be allowed to: two seeds that lost their disks and a third one would be enough seeds, and
+        still see little of the system. A set of fewer than `least_voters` nodes, too small to tolerate the required
+        losses, waits longer for more nodes. If some nodes already have the first version of a cluster, the others wait
+        longer too, to give it time to elect a leader.
         """
         is_small = len(view) < self.voter.settings.least_voters
         is_forming = bool(self.voter.cluster) or any(other.cluster for other in self.fresh_views().values())
@@ -209,18 +212,18 @@
         return self.stable_rounds >= rounds and 2 * len(founders) > len(view)
 
     def founders_heard(self) -> list[str]:
-        """The control nodes heard lately that may form a cluster, sorted."""
+        """Return the sorted control nodes seen recently that may form a cluster."""
         founders = {node for node, view in self.fresh_views().items() if view.may_form}
         if self.voter.formation.is_founder():
             founders.add(self.voter.node)
         return sorted(founders & set(self.control_nodes_heard()))
 
     def newest_promise_heard(self) -> int:
-        """The highest number of a promise that a control node has told lately."""
+        """Return the highest promise number that a control node reported recently."""
         return max((view.promise_number for view in self.fresh_views().values()), default=0)
 
     def all_agree_on(self, view: list[str]) -> bool:
-        """Whether a cluster of this set may be formed, as all of its nodes say."""
+        """True if all nodes of this set reported the same set, enough seeds, and no formed cluster."""
         views = self.fresh_views()
         return (
             self.has_enough_seeds()
@@ -233,18 +236,23 @@
         )
 
     def log_why_waiting(self, agrees: bool):
-        """Log now and then why nothing forms yet: whoever starts the machines has to know."""
+        """Log every ROUNDS_PER_LOG rounds why no cluster forms yet, for the operator who starts the machines."""
         is_waiting = not agrees or not self.voter.formation.may_form
         if not is_waiting or self.voter.discovery_rounds % ROUNDS_PER_LOG:
             return
         counts = self.seed_counts()
         if not self.voter.formation.may_form:
-            self.voter.log('Waits to join: its disk is empty, but this is no first start, so it forms no cluster.')
+            self.voter.log(
+                'Waits to join a cluster: the data folder is empty, but this is not the first start of the system,'
+                ' so this node forms no cluster.'
+            )
         elif not self.has_enough_seeds():
             self.voter.log(
-                f'Waits to form: {counts.answering} of {counts.named} seeds named by all we hear answer,'
-                f' two thirds must; silent: {", ".join(counts.silent[:SILENT_SEEDS_LOGGED])}.'
+                f'Waits to form a cluster: {counts.answering} of {counts.named} named seeds are reachable,'
+                f' two thirds are needed; unreachable: {", ".join(counts.silent[:SILENT_SEEDS_LOGGED])}.'
             )
         else:
             nodes = len(self.control_nodes_heard())
-            self.voter.log(f'Waits to form: not all of the {nodes} control nodes heard of agree on the set.')
+            self.voter.log(
+                f'Waits to form a cluster: the {nodes} control nodes known here do not all agree on the set.'
+            )
--- a/zinctrail/consensus/cluster_replacement.py
+++ b/zinctrail/consensus/cluster_replacement.py
@@ -1,4 +1,4 @@
-"""How a voter acts where one cluster takes the place of another: recovery, retirement, and one that never formed.
+"""Replacement of one cluster by another: recovery, retirement, and clusters that never formed.
 
 Operators recover a cluster that lost its majority as a new one, and the old one
 is retired (docs/operate/recover.md).
@@ -18,7 +18,7 @@
 
 
 class ReplacedVoter(typing.Protocol):
-    """What ClusterReplacement needs of the voter that it belongs to."""
+    """The interface of the voter that ClusterReplacement uses."""
 
     cluster: str
     term: int
@@ -33,62 +33,62 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads, as far as it knows."""
+        """True if this node considers itself the leader."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def discovery_targets(self) -> list[str]:
-        """The addresses that are probed in this round."""
+        """Return the addresses to probe in this round."""
 
     def answer_probe(self, address: str) -> None:
-        """Tell a node who we are, which control nodes we heard, and who leads."""
+        """Send a node our identity, the control nodes that we have seen, and the leader."""
 
     def on_probe(self, message: messages.Probe) -> None:
-        """Remember who probes and which seeds it names, and answer."""
+        """Record the probing node and the seeds that it names, and respond."""
 
     def on_probe_response(self, message: messages.ProbeResponse) -> None:
-        """Remember what a node said."""
+        """Record a probe response."""
 
     def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
-        """Remember a node that was mentioned, or that was itself `seen`."""
+        """Record a node that another node mentioned, or that was itself `seen`."""
 
     def restart_discovery(self) -> None:
-        """Begin a round of probes at once."""
+        """Start a probe round at once."""
 
     def forget_cluster(self) -> None:
-        """Forget our cluster and its state, and look for others."""
+        """Discard our cluster and its state, and restart discovery."""
 
     def raise_term(self, term: int, vote: str | None = None) -> None:
-        """Enter a newer term, and vote in it; durable before anything that follows leaves this process."""
+        """Enter a newer term and record the vote in it; durable before any later message leaves this process."""
 
     def step_down(self, why: str) -> None:
-        """Lead no more."""
+        """Give up the leadership of the current term."""
 
     def accept(
         self, version: messages.Version, base: messages.Version, rows: list | None, tables: dict[str, dict] | None
     ) -> None:
-        """Accept a version: its rows on `base`, or whole tables."""
+        """Accept a version: changed rows on top of `base`, or complete tables."""
 
 
 class ClusterReplacement:
-    """Begins a recovered cluster, gives up a retired one, and abandons one that never formed.
+    """Starts a recovered cluster, leaves a retired one, and abandons one that never formed.
 
-    :param replaced_by: the cluster that took the place of this voter's, as its data folder says; '' for none.
+    :param replaced_by: the cluster that replaced this voter's cluster, from the data folder; '' for none.
     """
 
     def __init__(self, voter: ReplacedVoter, replaced_by: str = ''):
         self.voter = voter
-        # The cluster that took the place of ours, where an operator gave ours up; this node does nothing then.
+        # The cluster that replaced ours, if an operator retired ours; this node is idle then.
         self.replaced_by = replaced_by
 
     # -- recovery by operators --------------------------------------------
 
     def begin(self, cluster: str, term: int, generation: int, tables: dict[str, dict], addresses: list[str]):
-        """Begin as the only voter of a cluster of this state; who is at `addresses` is looked for."""
+        """Start as the only voter of a cluster with this state, and look for nodes at `addresses`."""
         voter = self.voter
         voter.bootstrap.forget_named_seeds()
         voter.cluster = cluster
@@ -99,31 +99,31 @@
         voter.restart_discovery()
 
     def announce_retired(self):
-        """Tell nodes that may hold on to the retired cluster, whose frames would be refused without a word."""
+        """Notify nodes that may still belong to a retired cluster, whose frames would be refused without a response."""
         retired = self.voter.replica.get('meta', 'retired')
         for address in self.voter.discovery_targets() if retired else ():
             self.voter.send_message(address, messages.Retired(clusters=retired))
 
     def on_cluster_retired(self, message: messages.Retired):
-        """Our cluster may be given up: do nothing more then, until an operator clears the folder."""
+        """If our cluster was retired, stay idle from now on, until an operator clears the data folder."""
         voter = self.voter
         if voter.cluster not in message.clusters or self.replaced_by:
             return
         if voter.is_leader:
             voter.step_down('given up')
         successor = codec.sender_of(message).cluster
-        voter.log(f'Cluster {voter.cluster} was given up for {successor}: does nothing more; clear the data folder.')
+        voter.log(f'Cluster {voter.cluster} was replaced by {successor}: node is idle now; clear its data folder.')
         self.replaced_by = successor
         voter.leader, voter.mode, voter.timers = None, 'candidate', {}
         voter.persistence.write_retired(successor)
 
-    # -- a cluster of ours that never formed ------------------------------
+    # -- clusters that never formed ---------------------------------------
 
     def heard_other_cluster(self, message: codec.Message) -> bool:
-        """Whether a message of another cluster was of use.
+        """Handle a message of another cluster; return False if its sender is to be refused.
 
-        A node of a cluster that formed answers strangers, so that one whose own
-        never formed can join it.
+        A node of a formed cluster responds to probes of other clusters, so that a
+        node whose own cluster never formed can join it.
         """
         voter = self.voter
         if isinstance(message, messages.Probe) and voter.leader and voter.replica.committed[0] > 0:
@@ -134,7 +134,7 @@
         return self.is_unformed() and self.take_while_unformed(message)
 
     def take_while_unformed(self, message: codec.Message) -> bool:
-        """Whether a message of another cluster serves to form one together, as neither may have formed yet."""
+        """Handle discovery and formation messages of another cluster, as neither may have formed; False for others."""
         voter = self.voter
         if isinstance(message, messages.Probe):
             voter.on_probe(message)
@@ -149,16 +149,17 @@
         return True
 
     def is_unformed(self) -> bool:
-        """Whether we took a first version, but never voted, nor heard of a leader under it."""
+        """True if this node accepted a first version, but never voted or followed a leader since."""
         voter = self.voter
         return voter.replica.accepted == formation.FIRST_VERSION and voter.term == 0 and not self.replaced_by
 
     def abandon_unformed(self, successor: codec.Sender):
-        """Forget a cluster that never formed here, as another did.
+        """Abandon our cluster, which never formed, because another cluster has formed.
 
-        Nothing rests on what is forgotten: no vote was cast and no leader's
-        version accepted. The other cluster leads, so a majority of its set took
-        its first version; the promises before it (formation.py) let no other one form.
+        Discarding its state is safe: no vote was cast and no leader's version
+        accepted. The other cluster has a leader, so a majority of its set accepted
+        its first version; the promises made before (formation.py) prevent any other
+        cluster from forming.
         """
         voter = self.voter
         voter.log(
@@ -166,17 +167,17 @@
             'abandon',
             cluster=successor.cluster,
         )
-        # The other cluster stands: without state, this node may only join it.
+        # The other cluster has formed: without state, this node may only join it.
         voter.formation.forbid()
         voter.bootstrap.restart()
         voter.note_node(successor.address, successor.node, 'core', seen=True)
         self.forget_unformed()
 
     def forget_unformed(self):
-        """Forget the first version of a cluster that did not form, and write the identity anew."""
+        """Discard the first version of a cluster that did not form, and rewrite the identity file."""
         voter = self.voter
         voter.formation.restart()
         voter.election.abandon()
         voter.forget_cluster()
-        # Only the state is forgotten: that nothing was voted for, which the term file says, stays true.
+        # Only the state is discarded. The term file stays: it records that this node has not voted, which remains true.
         voter.persistence.forget_state()
--- a/zinctrail/consensus/discovery.py
+++ b/zinctrail/consensus/discovery.py
@@ -1,4 +1,4 @@
-"""Finding other nodes: probes to seeds and to the nodes that others name, until a leader is found."""
+"""Node discovery: probes the seeds, and the nodes that other nodes report, until a leader is found."""
 
 import dataclasses
 import datetime
@@ -7,21 +7,22 @@
 import zinctrail.consensus.messages as messages
 import zinctrail.runtime.durations as durations
 
-# A node counts as answering for so many probe intervals, because one lost answer must not change who is there.
+# The number of probe intervals for which a node counts as reachable after it was seen: one lost response must not
+# change the set of reachable nodes.
 ANSWERS_FOR_PROBES = 3
-# Nodes other than control nodes are probed in every so many rounds.
+# Nodes other than control nodes are probed once in this many rounds.
 ROUNDS_PER_FULL_PROBE = 5
 
 
 @dataclasses.dataclass(slots=True)
 class KnownNode:
-    """What is known of the node at an address."""
+    """The record of the node at an address."""
 
     node: str
     role: str
-    # When it was last heard itself; None: never.
+    # When its last message came; None if none came yet.
     heard_at: datetime.timedelta | None
-    # When it was last heard, or first mentioned by somebody.
+    # When its last message came, or when another node first mentioned it.
     mentioned_at: datetime.timedelta
 
 
@@ -35,7 +36,7 @@
         self.discovery_rounds = 0
 
     def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False):
-        """Remember a node that was mentioned, or that was itself `seen`."""
+        """Record a node that another node mentioned, or that was itself `seen`."""
         if address == self.location.addr:
             return
         known = self.known_nodes.setdefault(address, KnownNode(node, role, None, self.now))
@@ -47,15 +48,15 @@
             known.heard_at = known.mentioned_at = self.now
 
     def answers_lately(self, known: KnownNode) -> bool:
-        """Whether a known node was heard lately."""
+        """True if a known node was seen recently."""
         return known.heard_at is not None and known.heard_at >= self.now - self.settings.probe * ANSWERS_FOR_PROBES
 
     def is_answering(self, address: str) -> bool:
-        """Whether the node at an address was heard lately."""
+        """True if the node at an address was seen recently."""
         return address in self.known_nodes and self.answers_lately(self.known_nodes[address])
 
     def answering_control_nodes(self) -> dict[str, str]:
-        """The control nodes that were heard lately: {node: address}."""
+        """Return the control nodes seen recently: {node: address}."""
         return {
             known.node: address
             for address, known in self.known_nodes.items()
@@ -63,7 +64,7 @@
         }
 
     def timer_discovery(self):
-        """Probe the nodes of this round, and forget those that nobody mentioned for long."""
+        """Probe the nodes of this round, and drop non-members neither seen nor first mentioned within `remember`."""
         self.set_timer('discovery', self.settings.probe)
         self.discovery_rounds += 1
         for address in self.discovery_targets():
@@ -77,25 +78,25 @@
             del self.known_nodes[address]
 
     def discovery_targets(self) -> list[str]:
-        """The addresses that are probed in this round."""
+        """Return the addresses to probe in this round."""
         if self.mode != 'candidate':
             return []
-        # Control nodes lead to the leader; the others lead only to control nodes, and are probed less often.
+        # A control node can report the leader; other nodes can only report control nodes, so they are probed less often.
         probes_all = self.discovery_rounds % ROUNDS_PER_FULL_PROBE == 0
         addresses = {address for address, known in self.known_nodes.items() if known.role == 'core' or probes_all}
         return sorted((addresses | set(self.location.seeds)) - {self.location.addr})
 
     def discovery_details(self) -> dict[str, typing.Any]:
-        """Further fields of the Probe and ProbeResponse messages, for the role."""
+        """Hook of the role: return further fields of the Probe and ProbeResponse messages."""
         return {}
 
     def on_probe(self, message: messages.Probe):
-        """Remember who probes, and answer."""
+        """Record the probing node, and respond."""
         self.note_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
         self.answer_probe(message.sender.address)
 
     def answer_probe(self, address: str):
-        """Tell a node who we are, which control nodes we heard, and who leads."""
+        """Send a node our identity, the control nodes that we have seen, and the leader."""
         control_nodes = [
             [known_address, known.node, self.answers_lately(known)]
             for known_address, known in self.known_nodes.items()
@@ -114,7 +115,7 @@
         )
 
     def on_probe_response(self, message: messages.ProbeResponse):
-        """Remember who was named, and ask the leader that was named to be its member."""
+        """Record the nodes in the response, and ask to join the leader that it names."""
         self.note_node(message.sender.address, message.sender.node, message.member['role'], seen=True)
         for address, node, _ in message.control_nodes:
             self.note_node(address, node, 'core')
@@ -125,16 +126,16 @@
             self.join(leader['addr'])
 
     def join(self, address: str):
-        """Ask the leader at `address` to be its member."""
+        """Ask the leader at `address` to admit this node as a member."""
         self.send_message(
             address,
             messages.Join(member=self.member(), accepted=self.replica.accepted, term=self.term, reads_chunks=True),
         )
 
     def can_join(self) -> bool:
-        """Whether this node may become a member now."""
+        """True if this node may become a member now."""
         return not self.stopping
 
     def restart_discovery(self):
-        """Begin a round of probes at once."""
+        """Start a probe round at once."""
         self.set_timer('discovery', durations.ZERO)
--- a/zinctrail/consensus/election.py
+++ b/zinctrail/consensus/election.py
@@ -13,11 +13,11 @@
 import zinctrail.runtime.durations as durations
 import zinctrail.runtime.settings as settings
 
-# The least delay of an election is the setting `elect` divided by this.
+# The minimum delay of an election is the setting `elect` divided by this.
 LEAST_DELAY_DIVISOR = 6
-# By how much later each voter stands than the one whose turn is before, as a part of the setting `elect`.
+# The additional delay of each voter after the one ranked before it, as a fraction of the setting `elect`.
 TURN_DELAY = 0.5
-# What is random of the delay: all of it after a first attempt, and this much of it at the first.
+# The random fraction of the delay at the first attempt; in later attempts all of the delay is random.
 FIRST_RANDOM_SHARE = 0.2
 
 # {node that voted: its row as a member; None for our own vote}
@@ -26,7 +26,7 @@
 
 
 class CandidateVoter(typing.Protocol):
-    """What Election needs of the voter that it belongs to."""
+    """The interface of the voter that Election uses."""
 
     node: str
     now: datetime.timedelta
@@ -42,76 +42,77 @@
     replica: replica.Replica
     formation: formation.Formation
     stopping: bool
-    # What each member that votes for it said it has: {node: version}.
+    # The version that each member reported with its vote: {node: version}.
     reported_versions: dict[str, messages.Version]
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads, as far as it knows."""
+        """True if this node considers itself the leader."""
 
     @property
     def disk_failed(self) -> bool:
-        """Whether the disk can not be written."""
+        """True if the disk cannot be written."""
 
     def voting_set(self) -> VotingSet:
-        """The voting configuration, {committed, accepted}."""
+        """Return the voting configuration, {committed, accepted}."""
 
     def answering_control_nodes(self) -> dict[str, str]:
-        """The control nodes that were heard lately: {node: address}."""
+        """Return the control nodes seen recently: {node: address}."""
 
     def member(self) -> messages.MemberRow:
-        """This process as the row that it has in the table of members."""
+        """Return the row that describes this process in the `members` table."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it if it is set already."""
+        """Set a timer, replacing its earlier deadline."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
     def raise_term(self, term: int, vote: str | None = None) -> None:
-        """Enter a newer term, and vote in it; durable before anything that follows leaves this process."""
+        """Enter a newer term and record the vote in it; durable before any later message leaves this process."""
 
     def step_down(self, why: str) -> None:
-        """Lead no more."""
+        """Give up the leadership of the current term."""
 
     def lose_leader(self, reason: str) -> None:
         """Stop following the leader, and look for the next one."""
 
     def become_leader(self, votes: Votes) -> None:
-        """Lead the present term."""
+        """Become leader of the current term."""
 
     def note_reads_chunks(self, message: messages.Vote) -> None:
-        """Note whether the sender reads transfers in chunks."""
+        """Record whether the sender supports chunked transfers."""
 
     def on_join(self, message: messages.Vote) -> None:
-        """A node asks to be a member."""
+        """Handle a node's request to become a member."""
 
 
 class Election:
-    """Stands for election, and votes for others."""
+    """Runs the elections of this node, and votes for other candidates."""
 
     def __init__(self, voter: CandidateVoter):
         self.voter = voter
-        # How many pre-votes this node tried since it last followed or led.
+        # The number of pre-votes that this node started since it last followed or led.
         self.attempts = 0
-        # Who agreed in the pre-vote that is under way, with their terms.
+        # The nodes that agreed in the current pre-vote, with their terms; None without a pre-vote.
         self.pre_votes: dict[str, int] | None = None
-        # Who voted for us in the election that is under way.
+        # The votes for this node in the current election; None without one.
         self.votes: Votes | None = None
         # When this node last voted for another.
         self.voted_at: datetime.timedelta | None = None
 
-    # -- when to stand ----------------------------------------------------
+    # -- scheduling elections ---------------------------------------------
 
     def plan(self):
-        """Stand for election after a delay, if a quorum answers.
+        """Schedule a pre-vote after a delay, if a quorum is reachable.
 
-        At the first attempt voters take turns: all lose a leader at the same
-        moment, and one should stand alone. Later delays are random and grow with
-        the attempts, so that two candidates do not go on splitting the votes.
+        The first attempts are staggered by rank: all voters lose a leader at the
+        same moment, and only one should become a candidate. Later delays are random
+        and grow with the attempts, so that two candidates do not keep splitting the
+        votes.
         """
         voter = self.voter
         if 'election' in voter.timers:
@@ -125,7 +126,7 @@
             voter.set_timer('election', interval / LEAST_DELAY_DIVISOR + turn + random_delay)
 
     def turn(self) -> int:
-        """How many of the voters that answer have their turn before us; the order differs from term to term."""
+        """Return the number of reachable voters that are ranked before this node; the order differs between terms."""
         configuration = self.voter.voting_set()
         eligible = {*configuration['accepted'], *configuration['committed']}
         voters = eligible & self.voter.answering_control_nodes().keys()
@@ -135,11 +136,11 @@
         return sum(1 for node in voters if self.turn_order(node) < ours)
 
     def turn_order(self, node: str) -> int:
-        """By which voters are sorted to take turns in this term."""
+        """Return the sort key that ranks a voter in this term."""
         return zlib.crc32(f'{self.voter.term}/{node}'.encode())
 
     def may_stand(self) -> bool:
-        """Whether this node may become leader: it holds state, and can write it."""
+        """True if this node may become leader: it holds state and can write it."""
         voter = self.voter
         accepted = voter.replica.accepted
         if voter.mode != 'candidate' or voter.disk_failed or voter.stopping or accepted == storage.NO_VERSION:
@@ -149,7 +150,7 @@
     # -- pre-votes --------------------------------------------------------
 
     def on_timer(self):
-        """Ask all voters that answer whether they would take part in an election."""
+        """Start a pre-vote: ask all reachable control nodes whether they would vote for this node."""
         if not self.may_stand():
             return
         if self.has_just_voted():
@@ -165,14 +166,14 @@
         self.plan()
 
     def has_just_voted(self) -> bool:
-        """Whether this node voted so lately that the winner may not have reached it yet."""
+        """True if this node voted so recently that the winner's first message may still be under way."""
         return self.voted_at is not None and self.voter.now - self.voted_at < self.voter.settings.elect
 
     def on_pre_vote(self, message: messages.PreVote):
-        """Agree to take part in an election, unless another node leads or may lead.
+        """Grant a pre-vote, unless another node leads or may lead.
 
-        While somebody leads, a node that returns must not unseat them; and just
-        after a vote the node that we voted for may lead already.
+        A node that returns must not depose a working leader; and just after a vote
+        the candidate that this node voted for may lead already.
         """
         voter = self.voter
         accepted = voter.replica.accepted
@@ -186,7 +187,7 @@
         )
 
     def on_pre_vote_response(self, message: messages.PreVoteResponse):
-        """Count a pre-vote, unless the sender holds something newer."""
+        """Count a pre-vote, unless the sender has accepted a newer version."""
         if self.pre_votes is None or self.voter.mode != 'candidate':
             return
         if message.accepted > self.voter.replica.accepted:
@@ -195,7 +196,7 @@
         self.count_pre_votes()
 
     def count_pre_votes(self):
-        """Stand for election once a quorum would take part."""
+        """Start an election once a quorum has granted its pre-vote."""
         if self.pre_votes and replica.joint_quorum(self.pre_votes, self.voter.voting_set()):
             newest_term = max(self.pre_votes.values())
             self.pre_votes = None
@@ -204,12 +205,12 @@
     # -- votes ------------------------------------------------------------
 
     def start(self, newest_term: int):
-        """Stand for a term above ours and the newest one that was heard of."""
+        """Become a candidate for a term above our own and `newest_term`."""
         voter = self.voter
         term = max(voter.term, newest_term) + 1
         voter.counts['elections'] += 1
         reason = voter.leader_loss_reason or 'no leader known'
-        voter.log(f'Stands for term {term}.', 'stand', term=term, why=reason, tries=self.attempts)
+        voter.log(f'Starts an election for term {term}.', 'stand', term=term, why=reason, tries=self.attempts)
         voter.raise_term(term, voter.node)
         self.votes = {voter.node: None}
         for _, address in sorted(voter.answering_control_nodes().items()):
@@ -219,8 +220,8 @@
     def on_start_join(self, message: messages.StartJoin):
         """Vote for a candidate of a newer term.
 
-        The term and the vote are written before the vote is sent: a voter that
-        forgot its vote could vote twice.
+        The term and the vote are written to disk before the vote is sent: a voter
+        that lost its vote in a restart could vote twice.
         """
         voter = self.voter
         if message.term <= voter.term or voter.replica.accepted == storage.NO_VERSION:
@@ -241,13 +242,13 @@
         )
 
     def on_vote(self, message: messages.Vote):
-        """Count a vote; one that comes when we lead already is a request to be a member."""
+        """Count a vote; one that arrives after this node became leader is a request to become a member."""
         voter = self.voter
         if self.votes is None or message.term != voter.term or voter.mode != 'candidate':
             if voter.is_leader and message.term == voter.term:
                 voter.on_join(message)
             return
-        # A voter that holds something newer may hold something committed, so its vote does not count.
+        # The newer version that such a voter has accepted may be committed, so its vote does not count.
         if message.accepted > voter.replica.accepted:
             return
         self.votes[codec.sender_of(message).node] = message.member
@@ -256,28 +257,28 @@
         self.count_votes()
 
     def count_votes(self):
-        """Lead once a quorum has voted for us."""
+        """Become leader once a quorum has voted for this node."""
         if self.votes is not None and replica.joint_quorum(self.votes, self.voter.voting_set()):
             votes, self.votes = self.votes, None
             self.voter.become_leader(votes)
 
-    # -- what ends a candidacy --------------------------------------------
+    # -- ending an election -----------------------------------------------
 
     def leader_followed(self):
-        """Another leader is followed: no election of ours is under way any more."""
+        """End the election of this node, as it follows a leader now."""
         self.attempts = 0
         self.abandon()
         self.voter.timers.pop('election', None)
 
     def won(self):
-        """This node leads."""
+        """Reset the attempts and the election timer, as this node leads now."""
         self.attempts = 0
         self.voter.timers.pop('election', None)
 
     def term_raised(self):
-        """Votes count only for the term that they were given in."""
+        """Discard the votes of the last term: a vote counts only in the term that it was given in."""
         self.votes = None
 
     def abandon(self):
-        """Count no more votes or pre-votes of the rounds that are under way."""
+        """Abandon the current pre-vote and election."""
         self.votes = self.pre_votes = None
--- a/zinctrail/consensus/fenced_reads.py
+++ b/zinctrail/consensus/fenced_reads.py
@@ -1,4 +1,4 @@
-"""Reads that are answered only once it is certain that this node led after they came."""
+"""Linearizable reads: served only once a quorum has confirmed that this node led after the read arrived."""
 
 import dataclasses
 import typing
@@ -10,11 +10,11 @@
 class FencedRead:
     """A read that waits for a quorum to confirm the leadership."""
 
-    # The first heartbeat round that begins after the read came: a quorum's answers to it confirm the leadership.
+    # The first heartbeat round started after the read arrived: a quorum's responses to it confirm the leadership.
     round: int
-    # The version accepted when the read came: the commit of any later one confirms the leadership as well.
+    # The newest version accepted when the read arrived: the commit of any later one confirms the leadership as well.
     version: tuple[int, int]
-    # Called with True once it is confirmed, with False if it is lost before.
+    # Called with True once the leadership is confirmed, with False if it is lost before.
     callback: typing.Callable[[bool], None]
 
 
@@ -26,9 +26,9 @@
         self.waiting: list[FencedRead] = []
 
     def fence(self, callback: typing.Callable[[bool], None]):
-        """Call back with True once a quorum answered a round begun, or accepted a version published, after now.
+        """Call back with True once a quorum has confirmed a round or accepted a version that started after this call.
 
-        Called back with False if the leadership is lost before.
+        Calls back with False if the leadership is lost before.
         """
         voter = self.voter
         self.waiting.append(FencedRead(voter.heartbeat_round + 1, voter.replica.accepted, callback))
@@ -37,22 +37,22 @@
             voter.set_timer('fence', voter.settings.gather)
 
     def begin_round_if_needed(self):
-        """Begin the round that the reads wait for, unless a publication under way says as much as a round would."""
+        """Start the round that the reads wait for, unless the commit of a version in flight will confirm them."""
         in_flight = self.leadership.replication.in_flight
         newest = in_flight[-1].version if in_flight else (0, 0)
         if any(read.round > self.voter.heartbeat_round and read.version >= newest for read in self.waiting):
             self.leadership.heartbeats.start_round(everyone=False)
 
     def round_confirmed(self, number: int):
-        """A quorum answered this round."""
+        """Release the reads confirmed by a quorum's responses to this round."""
         self._release(lambda read: read.round <= number)
 
     def version_committed(self, version: tuple[int, int]):
-        """A quorum accepted this version."""
+        """Release the reads confirmed by the commit of this version."""
         self._release(lambda read: read.version < version)
 
     def refuse_all(self):
-        """The leadership is lost, or no majority is in reach."""
+        """Refuse all waiting reads, as the leadership is lost or no majority is reachable."""
         waiting, self.waiting = self.waiting, []
         for read in waiting:
             read.callback(False)
--- a/zinctrail/consensus/formation.py
+++ b/zinctrail/consensus/formation.py
@@ -1,18 +1,19 @@
-"""The forming of a cluster by a set of control nodes: promises, and the first version.
+"""Cluster formation by a set of control nodes: durable promises, then the first version.
 
-Without a list of the first nodes, several sets may come to form a cluster one
-after the other: nodes are late, frozen or without power, and some come back
-without their disks. Two rules keep it to one cluster that ever elects a leader:
+Without a configured list of initial nodes, several sets of nodes may try to form
+a cluster one after the other: nodes are late, frozen or without power, and some
+come back without their disks. Two rules ensure that only one cluster ever elects
+a leader:
 
-- Only a node that was there when the whole system first started, and that kept
-  its disk since, takes part. Any other one without state may have belonged to a
-  cluster that it has forgotten.
+- Only a node that was present when the whole system first started, and that has
+  kept its disk since, participates. Any other node without state may have
+  belonged to a cluster and lost that state.
 - Every node of a set promises, durably, to form this cluster before any of them
-  takes its first version. With a promise it gives up the cluster that it has
-  promised before, the first version of which it forgets and never votes in. It
-  makes one only with at least half of each earlier set, and only before it has
-  voted. So once all nodes of a set have promised, no majority of an earlier set is
-  left that could elect a leader.
+  accepts its first version. The promise supersedes the cluster that the node
+  promised before: it discards that cluster's first version and never votes in it.
+  A node promises only if the new set contains at least half of each earlier set,
+  and only before it has voted. So once all nodes of a set have promised, no
+  majority of an earlier set remains that could elect a leader.
 """
 
 import dataclasses
@@ -26,13 +27,13 @@
 import zinctrail.consensus.replica as replica
 import zinctrail.consensus.storage as storage
 
-# The version that a new cluster is formed with.
+# The first version of a new cluster.
 FIRST_VERSION = (0, 1)
 
 
 @dataclasses.dataclass(slots=True)
 class Proposal:
-    """A cluster that this node asks others to form with it, and the nodes that have promised it."""
+    """A cluster that this node proposed, and the nodes that have promised to form it."""
 
     cluster: str
     number: int
@@ -41,7 +42,7 @@
 
 
 class FormingVoter(typing.Protocol):
-    """What Formation needs of the voter that it belongs to."""
+    """The interface of the voter that Formation uses."""
 
     node: str
     rng: random.Random
@@ -53,45 +54,45 @@
 
     @property
     def disk_failed(self) -> bool:
-        """Whether the disk can not be written."""
+        """True if the disk cannot be written."""
 
     def is_empty(self) -> bool:
-        """Whether this node holds no state and belongs to no cluster."""
+        """True if this node holds no state and belongs to no cluster."""
 
     def is_forming(self) -> bool:
-        """Whether this node belongs to no cluster that has formed, as far as it knows."""
+        """True if this node knows of no fully formed cluster that it belongs to."""
 
     def forget_unformed(self) -> None:
-        """Forget the first version of a cluster, and write the identity anew."""
+        """Discard the first version of a cluster that did not form, and rewrite the identity file."""
 
     def answering_control_nodes(self) -> dict[str, str]:
-        """The control nodes that were heard lately: {node: address}."""
+        """Return the control nodes seen recently: {node: address}."""
 
     def founders_heard(self) -> list[str]:
-        """The control nodes heard lately that may form a cluster, sorted."""
+        """Return the sorted control nodes seen recently that may form a cluster."""
 
     def newest_promise_heard(self) -> int:
-        """The highest number of a promise that a control node has told lately."""
+        """Return the highest promise number that a control node reported recently."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
     def joins_new_cluster(self) -> None:
-        """This node takes the first version of a cluster."""
+        """Prepare for the first version of a cluster, which this node is about to accept."""
 
     def accept(
         self, version: messages.Version, base: messages.Version, rows: list | None, tables: dict[str, dict] | None
     ) -> None:
-        """Accept a version: its rows on `base`, or whole tables."""
+        """Accept a version: changed rows on top of `base`, or complete tables."""
 
 
 def is_given_up(identity: storage.NodeFile, cluster: str, accepted: messages.Version, term: int) -> bool:
-    """Whether the first version that a folder holds is that of a cluster which its node has given up.
+    """True if a data folder holds the first version of a cluster that its node has superseded by a later promise.
 
-    Files that are forgotten stay in their folder until they are written over.
+    Files of discarded state stay in the data folder until they are overwritten.
     """
     if accepted != FIRST_VERSION or term > 0 or 'promised' not in identity:
         return False
@@ -100,63 +101,63 @@
 
 
 class Formation:
-    """What a voter has promised, and its part in forming a cluster.
+    """Holds the promises of a voter, and forms a cluster with other voters.
 
     :param identity: the file `node` of its data folder, None for an empty folder.
-    :param first_start: whether the whole system starts for the first time, as the settings say.
+    :param first_start: the setting that says whether the whole system starts for the first time.
     """
 
     def __init__(self, voter: FormingVoter, identity: storage.NodeFile | None, first_start: bool):
         self.voter = voter
-        # Whether this node may form a cluster, as its folder says; folders of earlier releases do not say it.
+        # Whether this node may form a cluster, from its data folder; folders of earlier releases lack the field.
         self.may_form = (identity or {}).get('may_form', first_start)
-        # What it has promised, and the sets that it has promised before.
+        # The newest promise of this node, and the sets of its earlier promises.
         self.promised = (identity or {}).get('promised')
         self.earlier_sets = (identity or {}).get('earlier_sets', [])
         self.restart()
 
     def restart(self) -> None:
-        """Begin anew, as in a node that has asked nobody yet."""
+        """Reset to the state of a node that has proposed nothing yet."""
         self.proposal: Proposal | None = None
-        # Which nodes have the first version; None where this node has not taken it in this run.
+        # The nodes that have the first version; None if this process has not accepted or counted it yet.
         self.first_version_nodes: set[str] | None = None
 
     def is_founder(self) -> bool:
-        """Whether this node may form a cluster now."""
+        """True if this node may form a cluster now."""
         return self.may_form and self.voter.is_forming() and not self.voter.stopping and not self.voter.disk_failed
 
     def forbid(self) -> None:
-        """Form no cluster any more: another one stands, whose state this node may come to hold."""
+        """Never form a cluster from now on: another one has formed, whose state this node may come to hold."""
         self.may_form, self.promised, self.earlier_sets = False, None, []
 
     # -- promises -----------------------------------------------------------
 
     def promise_number(self) -> int:
-        """The number of the newest promise; 0 where there is none."""
+        """Return the number of the newest promise; 0 without one."""
         return self.promised['number'] if self.promised else 0
 
     def sets_promised(self) -> list[list[str]]:
-        """All sets that this node has promised to form a cluster with."""
+        """Return all sets of nodes that this node has promised to form a cluster with."""
         return [*self.earlier_sets, self.promised['nodes']] if self.promised else self.earlier_sets
 
     def may_promise(self, number: int, nodes: list[str]) -> bool:
-        """Whether this node may promise to form a cluster with these nodes."""
+        """True if this node may promise to form a cluster with these nodes."""
         if not self.is_founder() or self.voter.node not in nodes or number <= self.promise_number():
             return False
         return not any(replica.quorum(set(earlier) - set(nodes), earlier) for earlier in self.sets_promised())
 
     def promise(self, cluster: str, number: int, nodes: list[str]) -> None:
-        """Promise, durably, to form a cluster, and give up the one that was promised before."""
+        """Promise, durably, to form a cluster; this supersedes the cluster promised before."""
         self.earlier_sets = [earlier for earlier in self.sets_promised() if earlier != nodes]
         self.promised = {'cluster': cluster, 'number': number, 'nodes': nodes}
         if self.voter.is_empty():
             self.voter.persistence.write_identity()
         else:
-            self.voter.log(f'Gives up cluster {self.voter.cluster}, which did not form.', 'abandon', cluster=cluster)
+            self.voter.log(f'Abandons cluster {self.voter.cluster}, which did not form.', 'abandon', cluster=cluster)
             self.voter.forget_unformed()
 
     def propose(self, nodes: list[str]) -> None:
-        """Ask the nodes of a set to form a cluster; called in each round in which all of them agree on it."""
+        """Ask the nodes of a set to form a cluster; called in each round in which all nodes agree on the set."""
         if self.proposal is None or self.proposal.nodes != nodes:
             number = max(self.promise_number(), self.voter.newest_promise_heard()) + 1
             if not self.may_promise(number, nodes):
@@ -174,11 +175,11 @@
         self.form_if_promised()
 
     def withdraw(self) -> None:
-        """Form nothing out of the proposal that is under way: its nodes do not agree any more."""
+        """Withdraw the current proposal, as its nodes no longer agree on the set."""
         self.proposal = None
 
     def on_proposal(self, message: messages.FormationProposal) -> None:
-        """Promise what another node proposes, if we heard of the same set and no earlier promise forbids it."""
+        """Promise to form the proposed cluster, if we see the same set and no earlier promise forbids it."""
         if not self.promised or self.promised['cluster'] != message.cluster:
             if self.voter.founders_heard() != message.nodes or not self.may_promise(message.number, message.nodes):
                 return
@@ -187,7 +188,7 @@
         self.voter.send_message(codec.sender_of(message).address, messages.FormationPromise(cluster=message.cluster))
 
     def on_promise(self, message: messages.FormationPromise) -> None:
-        """Count a promise."""
+        """Count a promise for the current proposal."""
         if self.proposal is not None and message.cluster == self.proposal.cluster:
             self.proposal.promised.add(codec.sender_of(message).node)
             self.form_if_promised()
@@ -199,7 +200,7 @@
             return
         self.proposal = None
         self.voter.log(
-            f'Forms cluster {proposal.cluster} of {len(proposal.nodes)}.',
+            f'Forms cluster {proposal.cluster} of {len(proposal.nodes)} control nodes.',
             'form',
             cluster=proposal.cluster,
             nodes=proposal.nodes,
@@ -220,7 +221,7 @@
         self.first_version_nodes = {self.voter.node}
 
     def spread_first_version(self) -> None:
-        """Ask the other nodes of the set to take the first version, until a majority has."""
+        """Ask the other reachable nodes of the set, those not known to have the first version, to accept it."""
         nodes = self.voter.replica.latest('meta', 'boot')
         addresses = self.voter.answering_control_nodes()
         for node in nodes:
@@ -228,7 +229,7 @@
                 self.voter.send_message(addresses[node], messages.Bootstrap(view=nodes, resumed=True))
 
     def on_bootstrap(self, message: messages.Bootstrap) -> None:
-        """Take the first version of the cluster that this node has promised, and answer whether we have it."""
+        """Accept the first version of the cluster that this node has promised, and respond whether we have it."""
         cluster = codec.sender_of(message).cluster
         is_promised = self.promised is not None and self.promised['cluster'] == cluster
         if is_promised and self.voter.is_empty() and not self.voter.stopping:
@@ -242,5 +243,5 @@
             self.first_version_nodes = (self.first_version_nodes or {self.voter.node}) | {codec.sender_of(message).node}
 
     def is_first_version_settled(self) -> bool:
-        """Whether a majority of its set has taken the first version, which counts only then."""
+        """True if a majority of the set has accepted the first version, which is valid only then."""
         return replica.quorum(self.first_version_nodes or (), self.voter.replica.latest('meta', 'boot'))
--- a/zinctrail/consensus/graceful_shutdown.py
+++ b/zinctrail/consensus/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A voter that was told to stop hands over, and exits once its place in the voting set is taken."""
+"""Graceful shutdown of a voter: it hands over the leadership, and exits once it is replaced in the voting set."""
 
 import datetime
 import typing
@@ -15,18 +15,18 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# How long a node that stops stays for those that still turn to it, also where nothing else is to be done.
+# How long a node that shuts down keeps serving clients that still use it, even if it has nothing else to do.
 STAY = durations.ms(300)
-# How long one stays that follows no leader and votes nowhere.
+# The same for a node that follows no leader and has no vote.
 STAY_ALONE = durations.ms(100)
-# How long a leader that stops tries to hand over.
+# How long a leader that shuts down tries to hand over.
 HAND_OVER_MOST = durations.ms(1500)
-# After how long an unanswered message is sent again.
+# The interval after which a message without a response is sent again.
 RESEND = durations.ms(150)
 
 
 class LeavingVoter(typing.Protocol):
-    """What GracefulShutdown needs of the voter that it belongs to."""
+    """The interface of the voter that GracefulShutdown uses."""
 
     node: str
     now: datetime.timedelta
@@ -38,35 +38,35 @@
     leadership: 'leadership.Leadership | None'
     replica: replica.Replica
     election: election.Election
-    # Whether it was told to stop.
+    # True once the process was told to stop.
     stopping: bool
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads, as far as it knows."""
+        """True if this node considers itself the leader."""
 
     @property
     def disk_failed(self) -> bool:
-        """Whether the disk can not be written."""
+        """True if the disk cannot be written."""
 
     @property
     def peers(self) -> dict[str, peers.Peer]:
-        """The other members, as their leader knows them."""
+        """Return what this node knows as leader of each other member."""
 
     def voting_set(self) -> dict[str, list[str]]:
-        """The voting configuration, {committed, accepted}."""
+        """Return the voting configuration, {committed, accepted}."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it if it is set already."""
+        """Set a timer, replacing its earlier deadline."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
     def note_node(self, address: str, node: str = '', role: str = '', seen: bool = False) -> None:
-        """Remember a node that was mentioned, or that was itself `seen`."""
+        """Record a node that another node mentioned, or that was itself `seen`."""
 
     def lose_leader(self, reason: str) -> None:
         """Stop following the leader, and look for the next one."""
@@ -77,17 +77,17 @@
 
     def __init__(self, voter: LeavingVoter):
         self.voter = voter
-        # When told to stop, the earliest and the latest that the process exits.
+        # The earliest and the latest exit of the process, set once it is told to stop.
         self.earliest_exit = self.latest_exit = durations.ZERO
-        # Whether the leader said that nothing more is awaited of us.
+        # Whether the leader has released this node, which need not wait any longer then.
         self.released = False
 
     def begin(self):
-        """Hand over and leave: the process was told to stop."""
+        """Begin the shutdown: hand over the leadership, or ask the leader for release."""
         self.earliest_exit = self.voter.now + STAY
-        # Half of the grace period: what the process does after this must fit in it as well.
+        # Half of the grace period, because the rest of the process's shutdown must fit in it as well.
         self.latest_exit = self.voter.now + max(HAND_OVER_MOST, self.voter.settings.grace / 2)
-        self.voter.log('Leaves.', 'leave', node=self.voter.node)
+        self.voter.log('Shuts down and leaves the cluster.', 'leave', node=self.voter.node)
         if self.voter.is_leader:
             self.name_successor()
             self.voter.set_timer('exit', HAND_OVER_MOST)
@@ -97,9 +97,9 @@
     # -- as a follower ----------------------------------------------------
 
     def leave_as_follower(self):
-        """Stay until the leader releases us; without a leader, a voter stays a while for the next one."""
+        """Wait for the leader's release; without a leader, a voter waits up to HAND_OVER_MOST for the next one."""
         if self.voter.disk_failed:
-            # It reads nothing that a leader sends.
+            # A node whose disk failed handles no messages of a leader, so it cannot be released.
             self.voter.set_timer('exit', STAY)
         elif self.voter.leader and self.voter.mode == 'follower':
             self.leave_under_leader()
@@ -109,25 +109,25 @@
             self.voter.set_timer('exit', STAY_ALONE)
 
     def leave_under_leader(self):
-        """Ask the leader to be released, and stay until then."""
+        """Ask the leader for release, and wait for it."""
         if not self.released:
             self.voter.set_timer('exit', max(STAY, self.latest_exit - self.voter.now))
             self.request_release()
 
     def has_vote(self) -> bool:
-        """Whether this node is in the voting set, or in one of both during a change."""
+        """True if this node is in the voting set, or during a change in either of the two sets."""
         voting_set = self.voter.voting_set()
         return bool(voting_set) and self.voter.node in (*voting_set['accepted'], *voting_set['committed'])
 
     def request_release(self):
-        """Tell the leader that we stop, again until it answers: a message may be lost, and leaders change."""
+        """Notify the leader of the shutdown until it responds: a message may be lost, and the leader may change."""
         voter = self.voter
         if voter.leader and voter.mode == 'follower':
             voter.send_message(voter.leader['addr'], messages.Leave(awaits_release=True))
             voter.set_timer('request_release', RESEND)
 
     def on_leave_response(self, message: messages.LeaveResponse):
-        """The leader releases us: a voting set without us is committed, or nobody can take our place."""
+        """Schedule the exit: a voting set without this node is committed, or no other node can take its place."""
         if not self.voter.stopping or self.voter.is_leader:
             return
         self.released = True
@@ -137,9 +137,9 @@
     # -- as the leader ----------------------------------------------------
 
     def name_successor(self):
-        """Ask the voter that is best prepared to stand for election at once; again until one leads.
+        """Ask the most up-to-date voter to start an election at once; repeated until another node leads.
 
-        Does nothing where this node does not lead any more.
+        Does nothing if this node no longer leads.
         """
         voter = self.voter
         if not voter.leadership:
@@ -149,14 +149,15 @@
         able = [peer for node, peer in sorted(voter.peers.items()) if node in eligible and node not in leaving]
         prepared = [peer for peer in able if peer.accepted]
         if prepared:
-            # Who has most, then who answered last: it wins at once and is the surest to be there.
+            # The newest accepted version first, as that voter wins at once; then the most recent message, as its
+            # sender is most likely to be alive.
             peer = max(prepared, key=lambda peer: (peer.accepted, peer.heard_at))
-            voter.log(f'Names {peer.node} successor.', 'successor', term=voter.term, node=peer.node)
+            voter.log(f'Names {peer.node} as the next leader.', 'successor', term=voter.term, node=peer.node)
             voter.send_message(peer.address, messages.Succeed(term=voter.term))
         voter.set_timer('successor', RESEND)
 
     def on_succeed(self, message: messages.Succeed):
-        """The leader stops and names us its successor, so that no pre-vote is needed."""
+        """Start an election without a pre-vote, as the leader shuts down and names this node its successor."""
         voter = self.voter
         if message.term != voter.term or voter.mode != 'follower' or voter.disk_failed or voter.stopping:
             return
--- a/zinctrail/consensus/heartbeats.py
+++ b/zinctrail/consensus/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeat rounds: by answering them the members show that they still follow the leader."""
+"""Heartbeat rounds, whose responses confirm that the members still follow the leader."""
 
 import dataclasses
 import datetime
@@ -9,43 +9,44 @@
 import zinctrail.consensus.replica as replica
 import zinctrail.runtime.durations as durations
 
-# At a slower pace a member still gets so many heartbeats within a lease: two go by before a lease is renewed, and
-# one may be lost.
+# The minimum number of heartbeats per lease for members with a longer interval: renewing a lease takes two, and one
+# may be lost.
 HEARTBEATS_PER_LEASE = 4
-# A heartbeat that would be due within this part of the fastest interval is sent now: rounds come a little late.
+# A heartbeat due within this fraction of the shortest interval is sent already now, since rounds start a little late.
 DUE_TOLERANCE = 1 / 4
-# For how much of the fastest interval something just sent to a member may still be on its way to it.
+# The fraction of the shortest interval for which a message just sent to a member may still be in transit.
 IN_TRANSIT = 1 / 2
 
 
 @dataclasses.dataclass(slots=True)
 class HeartbeatRound:
-    """Heartbeats that were sent at the same time."""
+    """A round of heartbeats sent at the same time, and the responses to them."""
 
     started_at: datetime.timedelta
-    # The nodes that answered it, the leader included.
+    # The nodes that responded, including the leader.
     answered: set[str]
-    # Whether leases may rest on it.
+    # Whether leases may be based on this round.
     grants_leases: bool
-    # What each member had answered when it began: {node: (round, when)}. Only these answers may make a lease.
+    # Each member's newest response before the round started: {node: (round, when)}. Only on these responses may a
+    # lease be based.
     answers_before: dict[str, tuple[int, datetime.timedelta]]
-    # The nodes that were granted a lease by it; None until a quorum answered it.
+    # The nodes granted a lease in this round; None until a quorum responded.
     granted: set[str] | None = None
 
 
 class Heartbeats(leader_part.LeaderPart):
-    """Sends heartbeats and takes their answers."""
+    """Sends heartbeats and evaluates the responses."""
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
-        # The rounds whose answers may still come, by number.
+        # The rounds to which responses may still come, by number.
         self.rounds: dict[int, HeartbeatRound] = {}
-        # The newest round that a quorum answered, and the latest time at which a quorum surely followed.
+        # The newest round that a quorum responded to, and the latest time at which a quorum certainly followed.
         self.quorum_round: int = voter.heartbeat_round
         self.quorum_at: datetime.timedelta = voter.now
 
     def tick(self):
-        """One heartbeat interval is over: begin a round, and look for who does not answer."""
+        """Start the round of the next heartbeat interval, and remove the members that do not respond."""
         voter, settings = self.voter, self.voter.settings
         self.start_round(everyone=True)
         voter.set_timer('heartbeat', settings.check)
@@ -59,10 +60,10 @@
         voter.tick_leader()
 
     def pace(self, peer: peers.Peer) -> datetime.timedelta:
-        """How far apart a member's heartbeats are.
+        """Return the interval of a member's heartbeats.
 
-        Voters get them at the shortest interval. Members that only follow get them at a longer one where they are
-        many, so that a large fleet does not cost its leader more.
+        Control nodes get the shortest interval. In a large fleet the other members get a longer one, so that the
+        number of members does not increase the leader's load.
         """
         settings = self.voter.settings
         if peer.is_control_node or peer.level < 2:
@@ -73,14 +74,14 @@
         )
 
     def start_round(self, everyone: bool, grants_leases: bool = False):
-        """Ask the voters whether they still follow us, and with `everyone` all members whose heartbeat is due.
+        """Send heartbeats to the voters, and with `everyone` also to all other members whose heartbeat is due.
 
-        Leases rest on rounds with `everyone` or `grants_leases`.
+        Leases are based only on rounds with `everyone` or `grants_leases`.
         """
         voter = self.voter
         voter.heartbeat_round += 1
         grants_leases = grants_leases or everyone
-        # Noted when the round begins: a lease may only rest on answers from before.
+        # Recorded at the start of the round: a lease may only be based on earlier responses.
         peers_asked = self.leadership.peers.items() if grants_leases else ()
         before = {node: (peer.answered_round, peer.answered_at) for node, peer in peers_asked}
         self.rounds[voter.heartbeat_round] = HeartbeatRound(voter.now, {voter.node}, grants_leases, before)
@@ -94,11 +95,11 @@
         voter.majority_contact.watch()
 
     def oldest_unconfirmed(self) -> HeartbeatRound | None:
-        """The first round that no quorum answered yet; None if there is none."""
+        """Return the first round that no quorum has responded to yet; None if there is none."""
         return self.rounds.get(self.quorum_round + 1)
 
     def _forget_old_rounds(self):
-        # By age and not by number: many reads begin many rounds, and each must have its time.
+        # By age and not by count: many reads start many rounds, and each needs its full time for responses.
         settings = self.voter.settings
         oldest = self.voter.now - settings.check * (settings.misses + 1)
         for number in [number for number, r in self.rounds.items() if r.started_at < oldest]:
@@ -112,7 +113,7 @@
         """Send one member the heartbeat of the newest round."""
         voter = self.voter
         peer.heartbeat_sent_at = voter.now
-        # The pace is told since a member must not look for another leader sooner than its next heartbeat is due.
+        # The interval is included, since a member must not look for another leader before its next heartbeat is due.
         heartbeat = messages.Heartbeat(
             term=voter.term,
             recipient=peer.node,
@@ -124,7 +125,7 @@
         voter.send_message(peer.address, heartbeat)
 
     def on_response(self, message: messages.HeartbeatResponse):
-        """A member answered a heartbeat of this term."""
+        """Handle a member's response to a heartbeat of this term."""
         voter = self.voter
         peer = self.leadership.peers.get(message.sender.node)
         if peer is None:
@@ -134,11 +135,11 @@
             voter.chunk_readers.add(peer.node)
         if message.round > peer.answered_round:
             if not peer.answered_round and 'lease_round' not in voter.timers:
-                # It has no lease yet and serves nobody, so a round that may grant it one is begun soon.
+                # The member has no lease yet, so it serves no requests; a round that may grant it one starts soon.
                 voter.set_timer('lease_round', voter.settings.gather)
             peer.answered_round, peer.answered_at = message.round, voter.now
         peer.accepted = max(peer.accepted or (0, 0), message.accepted)
-        # A voter's own word counts even where it is less: one that was restarted no longer knows what was committed.
+        # A control node's report counts even if it is lower: after a restart it no longer knows what was committed.
         peer.committed = message.committed if peer.is_control_node else max(peer.committed, message.committed)
         self.leadership.replication.note_accepted(peer)
         self.catch_up(peer)
@@ -154,12 +155,12 @@
                 self.leadership.leases.grant(peer, answered)
 
     def catch_up(self, peer: peers.Peer):
-        """Send a member again what its answers show that it lacks."""
+        """Resend to a member the versions and commit notices that its responses show to be missing."""
         updates, transfers = self.leadership.member_updates, self.leadership.state_transfers
         if peer.sent_version is not None and transfers.is_under_way(peer):
             transfers.resend_if_unacknowledged(peer)
             return
-        # What it lacks may be on its way to it.
+        # The missing versions may be in transit.
         if self.voter.now - peer.sent_at < self.voter.settings.check * IN_TRANSIT:
             return
         if peer.accepted != updates.latest_for(peer):
@@ -170,17 +171,17 @@
             updates.notify_commit(peer)
 
     def _count_answers(self, number):
-        """Whether a quorum answered a round, and what rests on that."""
+        """Confirm a round once a quorum has responded: grant leases, release reads, continue publishing."""
         answered = self.rounds[number]
         if number <= self.quorum_round or not replica.joint_quorum(answered.answered, self.voter.voting_set()):
             return
         self.quorum_round = number
         self.quorum_at = max(self.quorum_at, answered.started_at)
-        # No leases before the first version of this term is committed: the state may be behind until then.
+        # No leases before the first version of this term is committed: the committed state may be outdated until then.
         if self.voter.replica.committed[0] == self.voter.term:
             self._grant_leases(answered)
         self.leadership.fenced_reads.round_confirmed(number)
-        # What waited while no quorum answered.
+        # Publish the changes that waited while no quorum responded.
         self.leadership.replication.pump()
 
     def _grant_leases(self, answered):
--- a/zinctrail/consensus/leader_part.py
+++ b/zinctrail/consensus/leader_part.py
@@ -1,4 +1,4 @@
-"""What the parts of a leadership have in common: the voter that leads, and the leadership they belong to."""
+"""The base class of a leadership's components, and the interface of the voter that they use."""
 
 import datetime
 import typing
@@ -17,7 +17,7 @@
 
 
 class LeadingVoter(typing.Protocol):
-    """What a leadership needs of the voter that leads."""
+    """The interface of the leading voter that a leadership uses."""
 
     node: str
     term: int
@@ -29,69 +29,69 @@
     replica: replica.Replica
     history: history.History
     leadership: 'leadership.Leadership | None'
-    # Notices that no majority is reached.
+    # Detects that no majority is reachable.
     majority_contact: majority_contact.MajorityContact
-    # Whether it was told to stop.
+    # True once the process was told to stop.
     stopping: bool
-    # The number of its newest heartbeat round; goes on over all its terms.
+    # The number of its newest heartbeat round; not reset between its terms.
     heartbeat_round: int
-    # Members that said that they read transfers in chunks.
+    # Members that support chunked transfers.
     chunk_readers: set[str]
-    # What each member that votes for it or joins it said it has: {node: version}.
+    # The version reported by each member that votes for it or joins it: {node: version}.
     reported_versions: dict[str, tuple[int, int]]
-    # Where each control node was last heard of: {node: address}.
+    # The last known address of each control node: {node: address}.
     control_node_addresses: dict[str, str]
-    # When a change of the voting set last came into force here.
+    # When a change of the voting set was last committed here.
     voting_set_changed_at: datetime.timedelta | None
 
     def frame(self, message: codec.Message) -> codec.Frame:
-        """The frame of a message of ours."""
+        """Encode a message, with this node as its sender, into a frame."""
 
     def send_message(self, address: str, message: codec.Message) -> None:
         """Send a message."""
 
     def send(self, address: str, frame: codec.Frame, packs: bool = False) -> None:
-        """Send a frame; `packs` says whether the receiver reads packed frames."""
+        """Send a frame; `packs` is true if the receiver reads packed frames."""
 
     def note_reads_chunks(self, message: codec.Message) -> None:
-        """Note whether the sender reads transfers in chunks."""
+        """Record whether the sender supports chunked transfers."""
 
     def forget_addresses(self) -> None:
-        """Keep only the addresses of control nodes that decide something."""
+        """Drop the control node addresses of neither voters nor members."""
 
     def set_timer(self, name: str, delay: datetime.timedelta) -> None:
-        """Set a timer, or move it if it is set already."""
+        """Set a timer, replacing its earlier deadline."""
 
     def log(self, text: str, event: str = '', **fields) -> None:
-        """Log a sentence, and what one would search for."""
+        """Log a sentence, with an event name and fields to search by."""
 
     def voting_set(self) -> VotingSet:
-        """The voting configuration, {committed, accepted}."""
+        """Return the voting configuration, {committed, accepted}."""
 
     def persist(self, at, base, rows, full) -> None:
-        """Make an accepted version durable."""
+        """Write an accepted version to disk."""
 
     def rows_committed(self, rows) -> None:
-        """The rows of a version, or a whole state (None), came into force."""
+        """Apply the committed rows of a version, or a complete committed state (None)."""
 
     def submit(self, work, callback, for_caller: bool = False) -> None:
-        """Have work(transaction) run as part of the next version; callback(result) once that is in force."""
+        """Run work(transaction) as part of the next version; call callback(result) once that version is committed."""
 
     def read(self, work, callback) -> None:
-        """callback(work(view)) of what is in force, once it is certain that this node led after now."""
+        """Call callback(work(view)) on the committed state, once this node is confirmed to have led after the call."""
 
     def step_down(self, why: str) -> None:
-        """Lead no more."""
+        """Give up the leadership of the current term."""
 
     def tick_leader(self) -> None:
-        """What a leader does in each heartbeat interval."""
+        """Run the role's periodic work in each heartbeat interval."""
 
     def member_gone(self, transaction, node: str) -> None:
-        """What else follows from a member's loss."""
+        """Clean up after a removed member."""
 
 
 class LeaderPart:
-    """A part of a leadership: owns its own fields, and reaches the others by `leadership`."""
+    """A component of a leadership: owns its fields, and reaches the other components through `leadership`."""
 
     def __init__(self, voter: LeadingVoter, leadership: 'leadership.Leadership'):
         self.voter = voter
@@ -99,5 +99,5 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the voter still leads: a callback may have made it step down."""
+        """True if the leadership is still in force: a callback may have made the voter step down."""
         return self.voter.leadership is self.leadership
--- a/zinctrail/consensus/leadership.py
+++ b/zinctrail/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""All that only a leader has: made when a voter is elected, dropped as a whole when it steps down."""
+"""The state that only a leader has: created when a voter is elected, discarded when it steps down."""
 
 import zinctrail.consensus.fenced_reads as fenced_reads
 import zinctrail.consensus.heartbeats as heartbeats
@@ -13,9 +13,9 @@
 
 
 class Leadership:
-    """One node's time as leader, from its election until it steps down.
+    """The components of one node's leadership, from its election until it steps down.
 
-    :param member_updates_type: the class that sends members what they lack; simulations use one of their own.
+    :param member_updates_type: the class that sends members the versions they lack; simulations use their own.
     """
 
     def __init__(
@@ -23,21 +23,21 @@
         voter: leader_part.LeadingVoter,
         member_updates_type: type[member_updates.MemberUpdates] = member_updates.MemberUpdates,
     ):
-        # The other members, also those that join with a version that is not committed yet: {node: what is known}.
+        # The other members, including those that join by a version not committed yet: {node: peer}.
         self.peers: dict[str, peers.Peer] = {}
-        # The line of versions: what waits to be computed, and what is published but not committed.
+        # The replication queue: changes not computed yet, and versions published but not committed.
         self.replication = replication.Replication(voter, self)
-        # What each member is sent of them.
+        # Sends each member the versions that it lacks.
         self.member_updates = member_updates_type(voter, self)
-        # The rounds by which the members show that they still follow.
+        # The heartbeat rounds whose responses confirm that the members still follow.
         self.heartbeats = heartbeats.Heartbeats(voter, self)
-        # The leases that members are granted after such a round.
+        # Grants leases to members after such a round.
         self.leases = leases.Leases(voter, self)
-        # Reads that wait until it is certain that this node still leads.
+        # Reads that wait until the leadership of this node is confirmed.
         self.fenced_reads = fenced_reads.FencedReads(voter, self)
-        # Who joins, leaves and is removed.
+        # Admits and removes members.
         self.membership = membership.Membership(voter, self)
-        # Which control nodes vote.
+        # Decides which control nodes vote.
         self.voting_configuration = voting_configuration.VotingConfiguration(voter, self)
-        # Transfers in chunks to members that lack much.
+        # Chunked transfers to members that lack too much for one frame.
         self.state_transfers = state_transfer.StateTransfers(voter, self)
--- a/zinctrail/consensus/leases.py
+++ b/zinctrail/consensus/leases.py
@@ -1,4 +1,4 @@
-"""The leases that a leader grants: until when a member may act on what it knows."""
+"""The leases that a leader grants: until when a member may act on its copy of the state."""
 
 import collections
 import datetime
@@ -9,14 +9,14 @@
 import zinctrail.consensus.messages as messages
 import zinctrail.consensus.peers as peers
 
-# How many commits a leader remembers the time of.
+# The number of newest commits whose time a leader remembers.
 COMMITS_MOST = 2048
-# A member whose last lease is older than this many heartbeat intervals gets its next one in a frame of its own.
+# A member whose last grant is older than this many heartbeat intervals gets the next one in a separate frame.
 PIGGYBACK_INTERVALS_MOST = 1.5
 
 
 class Commit(typing.NamedTuple):
-    """When a version was committed."""
+    """A committed version, and when it was committed."""
 
     version: tuple[int, int]
     at: datetime.timedelta
@@ -24,7 +24,7 @@
 
 
 class Leases(leader_part.LeaderPart):
-    """Grants leases to members that lack nothing that is in force."""
+    """Grants leases to members that have every committed version that concerns them."""
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
@@ -32,13 +32,13 @@
         self.commits: collections.deque[Commit] = collections.deque(maxlen=COMMITS_MOST)
 
     def note_commit(self, version: tuple[int, int], changes_routes: bool):
-        """A version was committed now."""
+        """Record that a version was committed now."""
         self.commits.append(Commit(version, self.voter.now, changes_routes))
 
     def grant(self, peer: peers.Peer, heartbeat_round: 'heartbeats.HeartbeatRound | None' = None):
-        """Grant a lease to a member that answered before a round began that a quorum answered.
+        """Grant a lease to a member that responded before the start of a round that a quorum has confirmed.
 
-        It gets none while it lacked something that was committed when it answered.
+        No lease is granted if the member lacks a version that was committed before its response.
         """
         granted = heartbeat_round.granted if heartbeat_round else None
         if granted is not None and peer.node in granted:
@@ -53,7 +53,7 @@
         self.voter.send_message(peer.address, messages.LeaseGrant(term=self.voter.term, granted_round=peer.lease_round))
 
     def piggyback(self, peer: peers.Peer) -> int | None:
-        """The round that a lease is granted for along with the next heartbeat; None where none is."""
+        """Return the round whose lease is granted in the next heartbeat itself; None if none is granted."""
         if not self.is_piggybacked(peer) or not peer.lease_round:
             return None
         if not self.has_all_committed(peer, peer.lease_answered_at):
@@ -62,10 +62,10 @@
         return peer.lease_round
 
     def is_piggybacked(self, peer: peers.Peer) -> bool:
-        """Whether a member's grants go along with its heartbeats, which spares a frame in each round.
+        """True if a member's leases are granted in its heartbeats, which saves a frame in each round.
 
-        Only at a slower pace than the fastest, where the last answer is not yet confirmed when the next heartbeat
-        goes out; and not after a gap, when the member may have no lease, or soon none.
+        Only for intervals longer than the shortest, where the last response is not yet confirmed when the next
+        heartbeat is sent; and not after a gap, when the member's lease may have expired or may expire soon.
         """
         pace = self.leadership.heartbeats.pace(peer)
         return (
@@ -75,10 +75,10 @@
         )
 
     def has_all_committed(self, peer: peers.Peer, when: datetime.timedelta) -> bool:
-        """Whether nothing that a member lacks now was committed before `when`.
+        """True if every version that the member lacks now was committed at `when` or later.
 
-        It goes by time since a version is nearly always on its way; a member that lacks one must not be granted
-        a lease by an answer that came after its commit.
+        Times are compared, since some version is nearly always in transit to the member. A response that came after
+        the commit of a version that the member lacks must not lead to a lease.
         """
         if peer.committed[0] != self.voter.term:
             return False
--- a/zinctrail/consensus/majority_contact.py
+++ b/zinctrail/consensus/majority_contact.py
@@ -1,9 +1,10 @@
-"""Whether a control node is in touch with a majority, and what its callers are told while it isn't.
+"""Detects that a control node has lost contact with the majority, and responds to its callers meanwhile.
 
-Callers give a node about a second before they turn to another one. A node that
-can't reach a majority answers them sooner, so that they lose as little as
-possible: 503 for what surely wasn't done, 504 for what may have been. It answers
-after it noticed, and never by a guess: an ordinary election doesn't count.
+Callers wait about a second for a node before they turn to another one. A node that
+cannot reach a majority responds sooner, so that they lose as little time as
+possible: 503 if the operation was certainly not executed, 504 if it may have been.
+It responds only once the loss of contact is established: an ordinary election is
+not a loss of contact.
 """
 
 import dataclasses
@@ -18,15 +19,15 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.leadership as leadership
 
-# A heartbeat round that no quorum answered for so long means that the leader lost its quorum. Well above a
+# A leader whose heartbeat round has had no quorum of responses for this long has lost its quorum. Well above a
 # round trip between regions; below the second that callers wait.
 ROUND_OVERDUE = durations.ms(500)
-# How late a leader's heartbeat may be before its followers stop relying on it.
+# How late a leader's heartbeat may be before its followers consider contact lost.
 HEARTBEAT_OVERDUE = durations.ms(300)
-# How many heartbeats long a call put to the leader may stay unanswered, while nothing else shows either that the
-# leader received it: a link may have failed in one direction. A lease granted shows it, two heartbeats later.
+# The number of heartbeat intervals that a call sent to the leader may wait for a response, or other proof that the
+# leader received it: a link may have failed in one direction. A granted lease is such a proof, two heartbeats later.
 ANSWER_HEARTBEATS = 2
-# A timer that fires so late shows that this process itself stood still.
+# A timer that fires this late shows that this process itself was suspended.
 STOOD_STILL = durations.ms(50)
 # How long a node without a leader waits for an election before it refuses its callers.
 ELECTION_OVERDUE = durations.ms(300)
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenCall:
-    """A call that a leader works on."""
+    """A call that this node, as leader, has not responded to yet."""
 
     operation: str
     callback: Callback
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeferredCall:
-    """A call that came while contact was lost, and is served or refused a moment later."""
+    """A call that came while contact was lost, deferred until it is served or refused shortly after."""
 
     operation: str
     arguments: Arguments
@@ -59,14 +60,14 @@
 
 
 class ContactVoter(typing.Protocol):
-    """What MajorityContact needs of the voter that it belongs to."""
+    """The interface of the voter that MajorityContact uses."""
 
     now: datetime.timedelta
     settings: settings.Settings
     timers: dict[str, datetime.timedelta]
     mode: str
     leadership: 'leadership.Leadership | None'
-    # How long it waits without a leader before it refuses its callers.
+    # How long it stays without a leader before it refuses its callers.
     election_wait: datetime.timedelta
     leaderless_since: datetime.timedelta
     leader_heard_at: datetime.timedelta
@@ -74,47 +75,47 @@
     pending_operations: dict[str, operation_requests.PendingOperation]
 
     def serve(self, operation: str, arguments: Arguments, callback: Callback) -> None:
-        """Carry out an operation as leader; callback(result) comes once."""
+        """Execute an operation as leader; callback(result) is called exactly once."""
 
     def send_operation(self, key: str) -> None:
-        """Send a pending operation to the leader, if there is one."""
+        """Send a pending operation to the leader, if a leader is known."""
 
     def is_watch(self, operation: str) -> bool:
-        """Whether an operation waits for events, however long that takes."""
+        """True if the operation waits for events without a time limit."""
 
     def only_reads(self, operation: str) -> bool:
-        """Whether an operation surely changes nothing."""
+        """True if the operation is known to be read-only."""
 
 
 class MajorityContact:
-    """Notices that a control node is out of touch with a majority, and answers its callers then."""
+    """Detects that a control node has lost contact with the majority, and responds to its callers then."""
 
     def __init__(self, voter: ContactVoter):
         self.voter = voter
-        # Calls a leader works on, by number; each is answered once, whoever comes first.
+        # The open calls of a leader, by number; each gets one response, the first that is available.
         self.open_calls: dict[int, OpenCall] = {}
         self.call_number = 0
-        # Calls that came while contact was lost.
+        # The calls that came while contact was lost.
         self.deferred_calls: list[DeferredCall] = []
-        # When the timer was meant to fire, and whether it was put off because this process had stood still.
+        # When the timer was due, and whether it was postponed because this process had been suspended.
         self.timer_due = durations.ZERO
         self.is_postponed = False
-        # Up to when the leader is known to have received what we sent.
+        # The leader is known to have received messages that we sent up to this time.
         self.received_until = durations.ZERO
-        # When the call was put that the leader seems not to have received.
+        # When the oldest call that the leader seems not to have received was sent; None if there is none.
         self.unreceived_since: datetime.timedelta | None = None
-        # Since when the present leader is followed.
+        # When this node began to follow the current leader.
         self.followed_at = durations.ZERO
 
-    # -- noticing ---------------------------------------------------------
+    # -- detection --------------------------------------------------------
 
     def is_lost(self) -> bool:
-        """Whether no majority is known to be reached any more."""
+        """True if contact with the majority is lost."""
         voter = self.voter
         if voter.leadership:
             return self.is_round_overdue()
         if voter.mode == 'follower' and not voter.heartbeats_received:
-            # It follows a leader that does not count it as a member yet, and can ask it nothing.
+            # The leader does not count this node as a member yet, so that no operation can be sent to it.
             return voter.now - self.followed_at >= voter.election_wait
         if voter.mode == 'follower':
             return (
@@ -124,23 +125,23 @@
         return voter.now - voter.leaderless_since >= voter.election_wait
 
     def is_round_overdue(self) -> bool:
-        """Whether this node leads, and its heartbeat rounds show that it lost its quorum."""
+        """True if this node leads, and its heartbeat rounds show that it lost its quorum."""
         if not self.voter.leadership:
             return False
         heartbeats, now = self.voter.leadership.heartbeats, self.voter.now
         oldest = heartbeats.oldest_unconfirmed()
         if oldest is not None and now - oldest.started_at >= ROUND_OVERDUE:
             return True
-        # A process that was suspended may have begun no round for a long time.
+        # A process that was suspended may have started no round for a long time.
         return now - heartbeats.quorum_at >= self.voter.settings.check + ROUND_OVERDUE
 
     def watch(self):
-        """Have the timer fire when contact would be found lost, if nothing is heard until then."""
+        """Set the timer, unless it is set, to when contact counts as lost if no message comes until then."""
         if 'contact' not in self.voter.timers:
             self._set_timer(max(self._deadline(), self.voter.now + self.voter.settings.gather))
 
     def note_received(self, sent_at: datetime.timedelta):
-        """The leader is known to have received what we sent at `sent_at`."""
+        """Record that the leader has received what we sent at `sent_at`."""
         self.received_until = max(self.received_until, sent_at)
         if self.unreceived_since is not None and sent_at > self.unreceived_since:
             self.unreceived_since = None
@@ -157,11 +158,11 @@
         return voter.leaderless_since + voter.election_wait
 
     def _answer_deadline(self) -> datetime.timedelta:
-        """When the oldest call that the leader leaves unanswered counts as not received."""
+        """Return when the oldest call without proof of receipt counts as not received by the leader."""
         return self._oldest_unreceived() + self.voter.settings.check * ANSWER_HEARTBEATS
 
     def _oldest_unreceived(self) -> datetime.timedelta:
-        """When the oldest call was put of which nothing shows that the leader received it; now, if there is none."""
+        """Return when the oldest call without proof of receipt was sent to the leader; now, if there is none."""
         put = (pending.first_sent_at for pending in self.voter.pending_operations.values())
         return min((at for at in put if at is not None and at > self.received_until), default=self.voter.now)
 
@@ -170,10 +171,11 @@
         self.voter.timers['contact'] = at
 
     def on_timer(self):
-        """Answer the callers if contact is lost, and serve them if it is there again."""
+        """Respond to waiting callers if contact is lost, and serve or resend the deferred calls."""
         voter = self.voter
         if voter.now > self.timer_due + STOOD_STILL and not self.is_postponed:
-            # What was sent to it meanwhile is read first; but once only, or a busy process would never answer.
+            # Messages received meanwhile are read first. The timer is postponed only once, or a busy process would
+            # never respond.
             self.is_postponed = True
             self._set_timer(voter.now + voter.settings.gather)
             return
@@ -186,10 +188,10 @@
         if voter.pending_operations or (voter.leadership and voter.leadership.heartbeats.oldest_unconfirmed()):
             self.watch()
 
-    # -- answering --------------------------------------------------------
+    # -- responses --------------------------------------------------------
 
     def answer_waiting_callers(self):
-        """Answer all callers that wait: nobody knows when a majority will be reached again."""
+        """Respond to all waiting callers, as it is unknown when a majority will be reachable again."""
         if self.voter.leadership:
             self._refuse_unpublished(self.voter.leadership)
             self._answer_unknown()
@@ -197,7 +199,7 @@
             self._answer_pending_operations()
 
     def _refuse_unpublished(self, leadership: 'leadership.Leadership'):
-        """Refuse what surely wasn't done: reads, and changes that never left this node."""
+        """Refuse the calls that were certainly not executed: reads, and changes never sent by this node."""
         self._refuse_deferred_calls()
         leadership.replication.refuse_callers()
         leadership.fenced_reads.refuse_all()
@@ -208,15 +210,15 @@
             call.callback(results.NO_LEADER)
 
     def _answer_unknown(self):
-        """What is published may still be committed, here or by a successor."""
+        """Respond `unknown` to the open calls: their changes may still be committed, here or by a successor."""
         for number, call in list(self.open_calls.items()):
-            # A callback before this one may have answered it.
+            # An earlier callback may have responded to this call already.
             if number in self.open_calls and not self.voter.is_watch(call.operation):
                 del self.open_calls[number]
                 call.callback(results.LOST)
 
     def _answer_pending_operations(self):
-        """As a node that isn't leader: what was never put to a leader surely wasn't done."""
+        """Respond to the calls of a node that does not lead; those never sent to a leader were certainly not executed."""
         waiting, self.voter.pending_operations = self.voter.pending_operations, {}
         for pending in waiting.values():
             if pending.sends and not self.voter.only_reads(pending.operation):
@@ -231,10 +233,10 @@
         for key in [key for key, pending in self.voter.pending_operations.items() if not pending.sends]:
             self.voter.send_operation(key)
 
-    # -- the calls themselves ---------------------------------------------
+    # -- serving calls ----------------------------------------------------
 
     def serve_call(self, operation: str, arguments: Arguments, callback: Callback, patient: bool = False):
-        """Serve a call as leader. A `patient` caller waits for the next leader by itself."""
+        """Serve a call as leader. A `patient` caller itself waits for the next leader, so it needs no early response."""
         self.call_number += 1
         number = self.call_number
         if not patient:
@@ -247,7 +249,7 @@
                 callback(self._as_refused_to_callers(result))
 
         if self.is_lost():
-            # Held for a moment: answers of the others may be waiting behind this call.
+            # Deferred shortly: heartbeat responses of other nodes may be queued behind this call.
             self.deferred_calls.append(DeferredCall(operation, arguments, answered))
             voter = self.voter
             self._set_timer(min(voter.timers.get('contact', voter.now), voter.now) + voter.settings.gather)
@@ -255,30 +257,30 @@
             self.voter.serve(operation, arguments, answered)
 
     def _as_refused_to_callers(self, result: results.OperationResult) -> results.OperationResult:
-        """A refusal by who is still leader means that it lost its majority."""
+        """Return the result for the caller: a refusal for want of a leader, while we lead, means a lost majority."""
         if result['status'] != results.NO_LEADER['status'] or not self.voter.leadership:
             return result
         return results.LOST if result.get('unknown') else NO_CONTACT
 
-    # -- changes of leaders -----------------------------------------------
+    # -- leader changes ---------------------------------------------------
 
     def leader_followed(self):
-        """Another leader than before is followed from now on."""
+        """Handle a change of the leader that this node follows."""
         self.unreceived_since = None
         self.received_until = durations.ZERO
         self.followed_at = self.voter.now
         for pending in self.voter.pending_operations.values():
             if pending.sends:
-                # It is put to another leader now.
+                # Proof of receipt is due from the new leader, to which the operation is sent now.
                 pending.first_sent_at = self.voter.now
 
     def leader_lost(self):
-        """No leader is followed any more: what waits here has an election's time from now."""
+        """Restart the timer for pending calls, which may wait for one election from now."""
         self.voter.timers.pop('contact', None)
         if self.voter.pending_operations:
             self.watch()
 
     def leadership_ended(self):
-        """This node leads no more: what is still deferred was never begun."""
+        """Refuse the deferred calls, which were never started, as this node no longer leads."""
         self._refuse_deferred_calls()
         self.leader_lost()
--- a/zinctrail/consensus/member.py
+++ b/zinctrail/consensus/member.py
@@ -1,7 +1,7 @@
-"""What every process does as a member: finding the others, following a leader, holding a lease.
+"""The state machine that every process shares as a member: discovery, following a leader, holding a lease.
 
-Roles add to this: zinctrail.consensus.voter elections and leadership,
-zinctrail.directory.daemon and zinctrail.proxy.node what they do with the routes.
+Roles extend it: zinctrail.consensus.voter adds elections and leadership,
+zinctrail.directory.daemon and zinctrail.proxy.node add their use of the routes.
 """
 
 import dataclasses
@@ -25,20 +25,20 @@
 import zinctrail.runtime.settings as settings
 import zinctrail.runtime.state_machine as state_machine
 
-# Of frames that can not be read, one in so many is logged.
+# One in this many malformed frames is logged.
 BAD_FRAMES_PER_LOG = 1000
-# How many refused senders are remembered, so that each is logged once.
+# The number of refused senders that are remembered, so that each is logged only once.
 REFUSED_MOST = 1000
-# Frames of a neighbouring wire level are read, those of others refused.
+# The largest difference in wire level between a sender and this node; frames from other levels are refused.
 LEVELS_APART_MOST = 1
-# How long a process that stops waits for its last messages to leave.
+# How long a process that shuts down waits for its last messages to be sent.
 LEAVE_WAIT = durations.ms(200)
-# The settings of its location that a process takes up at its next start only.
+# The settings of the location that take effect only at the next start of the process.
 FIXED_LOCATION = ('addr', 'http', 'cell', 'front')
 
 
 def as_version(pair) -> messages.Version:
-    """A (term, generation) pair out of a row of the replicated state; (0, 0) for none."""
+    """Return a row's (term, generation) pair as a version; (0, 0) if the row is missing."""
     return tuple(pair) if pair else (0, 0)
 
 
@@ -49,7 +49,7 @@
     member_status.MemberStatus,
     state_machine.StateMachine,
 ):
-    """A process of the cluster: its identity, what it receives and sends, its start and its end."""
+    """A process of the cluster: its identity, message handling, start and shutdown."""
 
     role = ''
     prefix = 'member'
@@ -60,20 +60,20 @@
         self.location = location
         self.settings = bounds
         self.replica = replica.Replica()
-        # What the leader sends of the replicated state.
+        # Receives versions of the replicated state from the leader.
         self.version_receiver = version_receiver.VersionReceiver(self)
-        # Minted at the start, because a process that comes back without memory is another node.
+        # Generated at the start, because a process that returns without its state is a new node.
         self.node = node or uuid.UUID(int=rng.getrandbits(128), version=4).hex[:16]
         self.cluster = ''
         self.stopping = False
         self.bad_frames = 0
-        # The (address, cluster) of senders whose frames are left unread.
+        # The (address, cluster) of senders whose frames are ignored.
         self.refused_senders = set()
 
-    # -- what is sent -----------------------------------------------------
+    # -- sending ----------------------------------------------------------
 
     def frame(self, message: codec.Message) -> codec.Frame:
-        """The frame of a message of ours."""
+        """Encode a message, with this node as its sender, into a frame."""
         return codec.encode(message, codec.Sender(self.node, self.location.addr, self.cluster, self.level))
 
     def send_message(self, address: str, message: codec.Message):
@@ -81,7 +81,7 @@
         self.send(address, self.frame(message))
 
     def member(self) -> messages.MemberRow:
-        """This process as the row that it has in the table of members."""
+        """Return the row that describes this process in the `members` table."""
         row = {
             'role': self.role,
             'addr': self.location.addr,
@@ -93,20 +93,20 @@
             row['front'] = self.location.front
         return row
 
-    # -- what is received -------------------------------------------------
+    # -- receiving --------------------------------------------------------
 
     def on_recv(self, frame: codec.Frame):
-        """Take one frame; one that can not be read is counted, one of a stranger refused.
+        """Receive one frame: count malformed ones, refuse those of another wire level or cluster.
 
-        A frame is checked as a whole first, because a handler that failed
-        half-way would leave a state behind that nobody meant.
+        A frame is validated completely first, because a handler that failed
+        half-way would leave an inconsistent state behind.
         """
         try:
             message = message_kinds.decode(frame)
         except errors.FrameError as error:
             self.bad_frames += 1
             if self.bad_frames % BAD_FRAMES_PER_LOG == 1:
-                self.log(f'Frame left unread: {error}.')
+                self.log(f'Ignored a malformed frame ({self.bad_frames} so far): {error}.')
             return
         handler = getattr(self, message.handler, None)
         if handler is None:
@@ -120,37 +120,37 @@
             handler(message)
 
     def take_from_other_cluster(self, message: codec.Message):
-        """Take a message of a cluster that is not ours."""
+        """Handle a message from another cluster than ours."""
         if isinstance(message, messages.Retired):
             self.cluster_retired(message)
         elif message.sender.cluster in (self.replica.get('meta', 'retired') or ()):
-            # A node that was believed lost when its cluster was recovered must not act when it comes back.
+            # A node that was believed lost when its cluster was recovered must not act when it returns.
             self.send_message(message.sender.address, messages.Retired(clusters=self.replica.get('meta', 'retired')))
         elif not self.heard_other_cluster(message):
             self.refuse_sender(message.sender, 'cluster')
 
     def refuse_sender(self, sender: codec.Sender, what: str):
-        """Log once that frames of this sender are left unread, because of another `what`."""
+        """Log once that frames of this sender are ignored, because its `what` differs from ours."""
         key = (sender.address, sender.cluster)
         if key not in self.refused_senders:
-            # Bounded, because strangers must not be able to fill our memory.
+            # Bounded, because unknown senders must not be able to fill our memory.
             if len(self.refused_senders) > REFUSED_MOST:
                 self.refused_senders.clear()
             self.refused_senders.add(key)
             self.log(f'Peer {sender.address} refused: other {what}.')
 
     def heard_other_cluster(self, message: codec.Message) -> bool:
-        """For the role: whether a message of another cluster than ours was of use."""
+        """Hook of the role: handle a message of another cluster; return False if its sender is to be refused."""
         return False
 
     def on_retired(self, message: messages.Retired):
-        """Of our own cluster, or while we are in none: nothing to give up."""
+        """Ignore the list of retired clusters if it comes from our own cluster, or while we are in none."""
 
     def cluster_retired(self, message: messages.Retired):
-        """Our cluster was given up by its operators, and another stands in its place."""
+        """Leave our cluster if its operators retired it and another cluster replaced it."""
         if self.cluster not in message.clusters:
             return
-        self.log(f'Cluster {self.cluster} was given up for {message.sender.cluster}: forgets it.')
+        self.log(f'Cluster {self.cluster} was replaced by {message.sender.cluster}: its state is discarded.')
         self.term, self.leader, self.mode = 0, None, 'candidate'
         self.lease_until = None
         self.heartbeats_received.clear()
@@ -159,7 +159,7 @@
         self.forget_cluster()
 
     def forget_cluster(self):
-        """Forget our cluster and its state, and look for others."""
+        """Discard our cluster and its state, and restart discovery."""
         self.cluster = ''
         self.replica.reset()
         self.applied(None)
@@ -168,15 +168,15 @@
     # -- versions ---------------------------------------------------------
 
     def on_publish(self, message: messages.Publish):
-        """The leader sends a version."""
+        """Handle a version that the leader published."""
         self.version_receiver.on_publish(message)
 
     def on_chunk(self, message: messages.Chunk):
-        """The leader sends a chunk of a version."""
+        """Handle a chunk of a version sent by the leader."""
         self.version_receiver.on_chunk(message)
 
     def on_commit(self, message: messages.Commit):
-        """The leader says what is committed."""
+        """Handle the leader's notice that a version is committed."""
         self.version_receiver.on_commit(message)
 
     def accept(
@@ -186,7 +186,7 @@
         rows: replica.Rows | None,
         tables: replica.Tables | None,
     ) -> None:
-        """Accept a version: `rows` on `base`, or all of it in `tables`."""
+        """Accept a version: `rows` on top of `base`, or the complete state in `tables`."""
         self.replica.accept(version, rows=rows, tables=tables)
         self.persist(version, base, rows, tables)
 
@@ -197,32 +197,32 @@
         rows: replica.Rows | None,
         tables: replica.Tables | None,
     ) -> None:
-        """Make an accepted version durable; only voters have a disk."""
+        """Write an accepted version to disk; does nothing here, as only voters have a disk."""
 
     def chunk_received(self, incoming: chunked_transfer.Incoming, rows: replica.Rows) -> None:
-        """A chunk was added to a transfer; voters write it to disk."""
+        """Handle a chunk added to a transfer; only voters write it to disk."""
 
     def commit(self, version: messages.Version) -> None:
-        """Apply all up to a version that was accepted before."""
+        """Commit all versions up to `version`, which was accepted before."""
         before = self.replica.committed
         rows = self.replica.commit(version)
         if self.replica.committed != before:
             self.rows_committed(rows)
 
     def rows_committed(self, rows: replica.Rows | None) -> None:
-        """Rows are in force from now on; None: all of them are."""
+        """Handle newly committed rows; None stands for the complete state."""
         if rows is None or any(row[0] == 'members' for row in rows):
             for node, row in self.replica.get('members').items():
                 self.note_node(row['addr'], node, row['role'])
         self.applied(rows)
 
     def applied(self, rows: replica.Rows | None) -> None:
-        """For the role: rows are in force from now on; None: all of them are."""
+        """Hook of the role: handle newly committed rows; None stands for the complete state."""
 
-    # -- start, settings, end ---------------------------------------------
+    # -- start, settings, shutdown ----------------------------------------
 
     def on_start(self):
-        """The process starts: look for the others."""
+        """Start the discovery of other nodes."""
         self.leaderless_since = self.now
         self.log(
             f'Starts as {self.node} at {self.location.addr}.',
@@ -236,15 +236,15 @@
         self.restart_discovery()
 
     def on_settings(self, location: node_location.NodeLocation, bounds: settings.Settings):
-        """Take the settings that may change in a running process: seeds, and the settings that are live."""
+        """Apply the settings that can change in a running process: the seeds and the reloadable settings."""
         merged = dataclasses.replace(self.settings, **{name: getattr(bounds, name) for name in settings.RELOADABLE})
         faults = merged.faults()
         if faults:
-            self.log('Settings not taken: ' + '; '.join(f'{name} {text}' for name, text in faults) + '.')
+            self.log('Settings rejected: ' + '; '.join(f'{name} {text}' for name, text in faults) + '.')
             return
         changed = [name for name in settings.RELOADABLE if getattr(merged, name) != getattr(self.settings, name)]
         for name in changed:
-            # In place, because other parts keep references to the same settings.
+            # Set in place, because other components hold references to the same object.
             setattr(self.settings, name, getattr(merged, name))
         if location.seeds != self.location.seeds:
             changed.append('seeds')
@@ -258,25 +258,25 @@
             )
 
     def settings_for_next_start(self, location: node_location.NodeLocation, bounds: settings.Settings) -> list[str]:
-        """The names of settings that differ from those in force."""
+        """Return the names of the settings whose new values take effect only at the next start."""
         fields = [field.name for field in dataclasses.fields(bounds)]
         waiting = [name for name in fields if getattr(bounds, name) != getattr(self.settings, name)]
         return waiting + [name for name in FIXED_LOCATION if getattr(location, name) != getattr(self.location, name)]
 
     def on_stop(self):
-        """Asked to end: leave, so that nobody has to notice by a timeout."""
+        """Shut down, and notify the leader, so that it need not detect the loss by a timeout."""
         if self.stopping:
             return
         self.stopping = True
-        self.log('Leaves.', 'leave', node=self.node)
+        self.log('Shuts down and leaves the cluster.', 'leave', node=self.node)
         if self.leader:
             self.send_message(self.leader['addr'], messages.Leave())
         self.set_timer('exit', self.leave_wait())
 
     def leave_wait(self):
-        """How long the process stays after it was asked to end."""
+        """Return how long the process keeps running after it was told to stop."""
         return LEAVE_WAIT
 
     def timer_exit(self):
-        """The process ends."""
+        """Exit the process."""
         self.out.append(effects.Exit(0))
--- a/zinctrail/consensus/member_status.py
+++ b/zinctrail/consensus/member_status.py
@@ -1,4 +1,4 @@
-"""What every process shows of itself: metrics, and the status page."""
+"""The metrics and the status page of every process."""
 
 import collections
 import datetime
@@ -11,14 +11,14 @@
 
 
 class MemberStatus:
-    """Metrics and the status document of a member. Mixed into Member."""
+    """Provides the metrics and the status document of a member. Mixed into Member."""
 
     def figures(self) -> dict[str, typing.Any]:
-        """The host's own counters, where it keeps any; the host replaces this."""
+        """Return the counters of the host, which replaces this method if it has any."""
         return {}
 
     def measures(self) -> typing.Iterator[tuple]:
-        """Rows for zinctrail.runtime.metrics."""
+        """Yield the rows for zinctrail.runtime.metrics."""
         yield metrics.gauge('term', 'The term this process knows of.', self.term)
         yield metrics.gauge('generation', 'The newest generation in force here.', self.replica.committed[1])
         yield metrics.gauge(
@@ -37,7 +37,7 @@
         yield self.endpoint_counts()
 
     def endpoint_counts(self) -> tuple:
-        """The row of metrics that counts endpoints by service, state and whether they are warming up."""
+        """Return the metrics row that counts endpoints by service, by state, and by whether they are warming up."""
         counts = collections.Counter(
             (row['service'], row['state'], 'yes' if row.get('chill') or row['cold'] else 'no')
             for row in self.replica.get('endpoints').values()
@@ -53,7 +53,7 @@
         )
 
     def status(self) -> dict[str, typing.Any]:
-        """The status document; its keys are part of the HTTP interface."""
+        """Return the status document; its keys are part of the HTTP interface."""
         return {
             'id': self.node,
             'role': self.role,
@@ -74,5 +74,5 @@
 
 
 def age_ms(now: datetime.timedelta, moment: datetime.timedelta | None) -> int:
-    """How long ago a moment was, in ms; -1 where it never came."""
+    """Return how long ago a moment was, in ms; -1 for None."""
     return durations.to_ms(now - moment) if moment is not None else -1
--- a/zinctrail/consensus/member_updates.py
+++ b/zinctrail/consensus/member_updates.py
@@ -1,4 +1,4 @@
-"""What a leader sends each member: versions that it lacks, and which of them are committed."""
+"""Replication to the individual members: the versions that each lacks, and notices of commits."""
 
 import typing
 
@@ -9,43 +9,43 @@
 import zinctrail.consensus.messages as messages
 import zinctrail.consensus.peers as peers
 
-# From how many changes on only the last value of each key is sent.
+# From this number of changes on, only the last value of each key is sent.
 MERGE_FROM = 64
 
 
 class SharedFrame(typing.NamedTuple):
-    """A frame that goes to all members that lack the same."""
+    """A frame shared by all members that lack the same versions."""
 
     frame: codec.Frame
-    # Whether it holds the whole state, not changes.
+    # Whether the frame holds the complete state instead of changes.
     is_whole_state: bool
 
 
 class MemberUpdates(leader_part.LeaderPart):
-    """Sends members what they lack."""
+    """Sends each member the versions that it lacks, and notices of commits."""
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
-        # The frames that carry the newest version, shared by all members that lack the same:
-        # {(accepted, version, whether to a control node, base, commit told along): frame}.
+        # The frames that carry the newest version, shared by all members that lack the same versions:
+        # {(accepted, version, whether for a control node, base, commit notice in the frame): frame}.
         self.shared_frames: dict[tuple, SharedFrame] = {}
 
     def latest_for(self, peer: peers.Peer) -> tuple[int, int]:
-        """The newest version of what a member keeps: everything, or the routes only."""
+        """Return the newest version of the data that a member stores: of the complete state, or of the routes only."""
         if peer.is_control_node:
             return self.voter.replica.accepted
         return member.as_version(self.voter.replica.latest('meta', 'routes'))
 
     def committed_for(self, peer: peers.Peer) -> tuple[int, int]:
-        """The newest committed version of what a member keeps."""
+        """Return the newest committed version of the data that a member stores."""
         if peer.is_control_node:
             return self.voter.replica.committed
         return member.as_version(self.voter.replica.get('meta', 'routes'))
 
     def changes_since(self, base: tuple[int, int], everything: bool) -> tuple[list, list] | None:
-        """(rows, versions between) from `base` to the newest version; None if that is too far back.
+        """Return (rows, versions between) from `base` to the newest version; None if `base` is too old.
 
-        :param everything: all rows, else only those of the routes.
+        :param everything: if true all rows, else only those of the routes.
         """
         changes = self.voter.history.since(base, everything)
         if not changes:
@@ -53,16 +53,16 @@
         rows = history.rows_between(changes, everything)
         if len(changes) >= MERGE_FROM:
             rows = history.latest_rows(rows)
-            # Whoever lacks more rows than there are gets the state.
+            # With more changed rows than the state has, sending the complete state is cheaper.
             if len(rows) > self.voter.replica.size():
                 return None
         return rows, [change.at for change in reversed(changes)][1:]
 
     def offer(self, peer: peers.Peer):
-        """Send a member what it lacks: the changes since what it has, or everything."""
+        """Send a member what it lacks: the changes since its version, or the complete state."""
         transfers = self.leadership.state_transfers
         if peer.sent_version is None:
-            # Before its first answer nothing is known of what it has; and what is on its way in chunks goes on.
+            # Before a member's first response its version is unknown; and a chunked transfer in progress continues.
             if peer.accepted is None or transfers.resume(peer) or self._catch_up_in_chunks(peer):
                 return
         elif transfers.is_under_way(peer):
@@ -70,7 +70,7 @@
         voter = self.voter
         version = self.latest_for(peer)
         base = peer.sent_version or peer.accepted
-        # Told along, so that a voter learns what is committed without a frame of its own.
+        # The commit notice is included, so that a control node needs no separate frame for it.
         committed = (
             voter.replica.committed if peer.is_control_node and voter.replica.committed[0] == voter.term else None
         )
@@ -82,12 +82,12 @@
         voter.send(peer.address, shared.frame, peer.level >= 2)
 
     def _catch_up_in_chunks(self, peer):
-        """Whether what a member was found to lack is sent to it in chunks, being too much for one frame."""
+        """Start a chunked transfer if a member lacks too much for one frame; return True if one was started."""
         found = self.changes_since(peer.accepted, peer.is_control_node)
         return self.leadership.state_transfers.begin(peer, peer.accepted, found and found[0])
 
     def _shared_frame(self, version, everything, base, committed):
-        """The frame with a version: most members lack the same, so it is made and encoded once for all of them."""
+        """Return the frame with a version, encoded once for all members that lack the same, as most of them do."""
         accepted = self.voter.replica.accepted
         key = (accepted, version, everything, base, committed)
         if key not in self.shared_frames:
@@ -103,21 +103,22 @@
         if found:
             message.base = base
             message.rows, between = found
-            # The member may have accepted any of these meanwhile: it takes the rows on that too, being whole values.
+            # The member may have accepted any of these versions meanwhile. Rows hold complete values, so that they can
+            # be applied to each of them too.
             message.between = between or None
         else:
             message.tables = voter.replica.whole(routes=not everything)
         return message
 
     def notify_commit(self, peer: peers.Peer):
-        """Tell a member what is committed of what it has."""
+        """Notify a member of the newest committed version among those that it has accepted."""
         if peer.accepted is None:
             return
         voter = self.voter
         if peer.accepted[0] == voter.term:
             version = min(peer.accepted, voter.replica.committed)
         else:
-            # Of an older term it may hold what never was committed, unless it is what this term builds on.
+            # A version of an older term may never have been committed, unless this term builds on it.
             version = peer.accepted if peer.accepted == self.latest_for(peer) else (0, 0)
         is_of_use = peer.is_control_node or version == peer.accepted
         if version > peer.notified_commit and version <= voter.replica.committed and is_of_use:
--- a/zinctrail/consensus/membership.py
+++ b/zinctrail/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Who is a member of the cluster, as its leader decides."""
+"""The leader's admission and removal of cluster members."""
 
 import datetime
 
@@ -9,24 +9,24 @@
 import zinctrail.consensus.transactions as transactions
 import zinctrail.runtime.durations as durations
 
-# For so long after a removal was submitted no other one of the same member is.
+# The minimum time between two submitted removals of the same member.
 REMOVAL_PAUSE = durations.ms(1000)
-# For how much of a heartbeat interval the answer to a join request may still be on its way.
+# The fraction of a heartbeat interval for which the response to a join request may still be in transit.
 IN_TRANSIT = 1 / 2
 
 
 class Membership(leader_part.LeaderPart):
-    """Admits members, and removes those that leave or fall silent."""
+    """Admits members, and removes those that shut down, disconnect or stop responding."""
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
-        # Members whose removal waits to be committed: {node: when it was submitted}.
+        # The members whose removal is not committed yet: {node: when it was submitted}.
         self.removals: dict[str, datetime.timedelta] = {}
-        # Control nodes that said they shut down: {node: when}.
+        # The control nodes that announced their shutdown: {node: when}.
         self.leaving: dict[str, datetime.timedelta] = {}
 
     def add_elected_peers(self, votes: dict):
-        """Begin with the members of the state that the leadership builds on; `votes` came from some of them."""
+        """Create the peers of a new leader from the members of its accepted state; some of them sent the `votes`."""
         voter = self.voter
         for node, row in voter.replica.whole_of('members').items():
             if node == voter.node or row is None:
@@ -38,21 +38,21 @@
                 self.assume_caught_up(peer)
 
     def assume_caught_up(self, peer):
-        """Take a member to hold what we hold, until it answers otherwise.
+        """Assume that a member has the leader's version, until its response says otherwise.
 
-        Nearly always it does. A whole state for each member would fill our link for longer than
-        voters wait for a leader, and one of them would stand for the next term. A member that
-        holds something else refuses the first version and tells what it holds.
+        The assumption nearly always holds. Sending the complete state to each member would fill
+        the leader's link for longer than voters wait for a leader, and one of them would start an
+        election. A member that has another version refuses the first one sent and reports its own.
         """
         peer.sent_version = self.leadership.member_updates.latest_for(peer)
 
     def sync_peers(self):
-        """Follow a committed change of the table of members."""
+        """Update the peers after a committed change of the `members` table."""
         rows = self.voter.replica.get('members')
-        # Newcomers of a version that is not committed yet are offered it already, and stay.
+        # Members admitted by a version not committed yet remain: that version is sent to them already.
         admitted = {n for n, row in self.voter.replica.whole_of('members').items() if row}
         for node in [n for n in self.leadership.peers if n not in rows and n not in admitted]:
-            # Absent since it was last heard, not since that was noticed.
+            # Absence counts from the last message of the member, not from its removal.
             absent_since = self.leadership.peers.pop(node).heard_at
             self.leadership.voting_configuration.absent_since[node] = absent_since
         updates = self.leadership.member_updates
@@ -65,25 +65,25 @@
                 self.leadership.heartbeats.send_heartbeat(peer)
 
     def add_peer(self, node: str, row: dict) -> peers.Peer | None:
-        """The new member of this row; None if it is known already."""
+        """Create and return the peer for a row of the `members` table; None if the peer exists already."""
         if node == self.voter.node or node in self.leadership.peers:
             return None
         peer = self.leadership.peers[node] = peers.Peer.of_row(node, row, self.voter.now)
         self.voter.log(
-            f'Member {node} ({peer.role} {peer.address}) is here.',
+            f'Member {node} ({peer.role} {peer.address}) joined.',
             'here',
             node=node,
             role=peer.role,
             addr=peer.address,
         )
-        # A member that returns needs only what it missed.
+        # A returning member needs only the versions that it missed.
         peer.accepted = self.voter.reported_versions.pop(node, None)
         return peer
 
     def on_join(self, message: messages.Join | messages.Vote):
-        """A node asks to become a member, or a member to be caught up; a vote that comes late asks for the same."""
+        """Admit a node, or send a member the versions that it lacks; a late vote counts as such a request."""
         voter, node = self.voter, codec.sender_of(message).node
-        # A node that shuts down asks to join no more, so that it was started again.
+        # A node that shuts down sends no join requests, so this one was restarted.
         self.leaving.pop(node, None)
         voter.note_reads_chunks(message)
         voter.reported_versions[node] = message.accepted
@@ -99,17 +99,18 @@
         peer.heard_at = voter.now
         in_transit = voter.now - peer.sent_at < voter.settings.check * IN_TRANSIT
         if peer.sent_version is not None and accepted == (peer.accepted or (0, 0)) and in_transit:
-            # It asks whoever names a leader, so the same question comes several times; its answer is on its way.
+            # The node sends a join request for each probe response that names the leader, so requests are repeated;
+            # the response to an earlier one is in transit.
             return
         peer.accepted, peer.sent_version, peer.notified_commit = accepted, None, (0, 0)
         self.leadership.heartbeats.catch_up(peer)
 
     def on_leave(self, message: messages.Leave):
-        """A member says that it shuts down; one that votes may wait until it is released."""
+        """Remove a member that shuts down; a control node may wait for its release first."""
         voter, peer = self.voter, self.leadership.peers.get(codec.sender_of(message).node)
         if peer is None:
             if message.awaits_release:
-                # It was released before, and that answer was lost.
+                # The member was released before, and that response was lost.
                 voter.send_message(codec.sender_of(message).address, messages.LeaveResponse())
             return
         if peer.is_control_node:
@@ -120,12 +121,12 @@
             self.remove(peer, 'left')
 
     def on_connection_lost(self, address: str):
-        """The connection to whoever is at an address was closed."""
+        """Remove the member at an address whose connection was closed."""
         for peer in [p for p in self.leadership.peers.values() if p.address == address]:
             self.remove(peer, 'disconnected')
 
     def remove(self, peer: peers.Peer, why: str):
-        """Take a member out of the cluster."""
+        """Remove a member from the cluster."""
         voter, node = self.voter, peer.node
         if node in self.removals and self.removals[node] > voter.now - REMOVAL_PAUSE:
             return
--- a/zinctrail/consensus/peers.py
+++ b/zinctrail/consensus/peers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other member."""
+"""The leader's record of each other member."""
 
 import dataclasses
 import datetime
@@ -12,33 +12,33 @@
 
     node: str
     address: str
-    # 'core' for control nodes, which store and may vote on the whole state; others only follow the routes.
+    # 'core' for control nodes, which store the complete state and may vote; other roles only receive the routes.
     role: str
-    # The wire level that it speaks.
+    # The wire level that the member uses.
     level: int
-    # When any answer of it last came.
+    # When the last message from the member came.
     heard_at: datetime.timedelta
-    # The newest version that it said it has; None until it said so.
+    # The newest version that the member reported as accepted; None before its first report.
     accepted: tuple[int, int] | None = None
-    # The newest version sent to it, which is counted on to arrive; None where what it has must be found out first.
+    # The newest version sent to the member, which is assumed to arrive; None if its version must be determined first.
     sent_version: tuple[int, int] | None = None
     sent_at: datetime.timedelta = durations.ZERO
-    # The newest version that it was notified to be committed, and the newest that it said it has committed.
+    # The newest version whose commit the member was notified of, and the newest that it reported as committed.
     notified_commit: tuple[int, int] = (0, 0)
     committed: tuple[int, int] = (0, 0)
-    # The newest heartbeat round that it answered, and when that answer came.
+    # The newest heartbeat round that the member responded to, and when that response came.
     answered_round: int = 0
     answered_at: datetime.timedelta = durations.ZERO
     heartbeat_sent_at: datetime.timedelta = durations.ZERO
-    # The newest of its answers that a lease may rest on, and when that answer came.
+    # The round of the member's newest response that a lease may be based on, and when that response came.
     lease_round: int = 0
     lease_answered_at: datetime.timedelta = durations.ZERO
-    # When it was last granted a lease; None if never.
+    # When the member was last granted a lease; None if never.
     lease_granted_at: datetime.timedelta | None = None
 
     @classmethod
     def of_row(cls, node: str, row: dict, now: datetime.timedelta) -> 'Peer':
-        """The member of this row of the table `members`, taken to have been heard just now."""
+        """Create the peer for a row of the table `members`, as if its last message had come just now."""
         return cls(
             node,
             row['addr'],
@@ -51,5 +51,5 @@
 
     @property
     def is_control_node(self) -> bool:
-        """Whether it holds the whole state, and so may vote."""
+        """True if the member stores the complete state, and so may vote."""
         return self.role == 'core'
--- a/zinctrail/consensus/voter.py
+++ b/zinctrail/consensus/voter.py
@@ -1,4 +1,4 @@
-"""The control nodes' state machine, put together from an object for each concern.
+"""The state machine of a control node, composed of one object per concern.
 
 Follows PAPER-elasticsearch-distributed-arch-c3d8.md as fixed by
 DESIGN-zinctrail.md; docs/design.md lists what differs and why.
@@ -33,12 +33,12 @@
 
 
 class Voter(leading.Leading, member.Member):
-    """A control node: a member that stores the whole state, and may vote and lead.
+    """A control node: a member that stores the complete state and may vote and lead.
 
-    Each of its parts, made below, owns its own fields. The voter hands them the
-    inputs and timers that they need, and keeps what several of them use.
+    Each component created below owns its fields. The voter passes inputs and
+    timers on to the components, and holds the fields that several of them use.
 
-    :param files: the data folder as it was found, {name: text}.
+    :param files: the contents of the data folder at the start, {name: text}.
     """
 
     role = 'core'
@@ -53,56 +53,56 @@
         identity = storage.load_node(files) if 'node' in files else None
         if identity and formation.is_given_up(identity, cluster, loaded.accepted, term):
             cluster, loaded = '', replica.Replica()
-        # Where each control node was last heard of: {node: address}.
+        # The last known address of each control node: {node: address}.
         self.control_node_addresses: dict[str, str] = {}
         super().__init__(location, node_settings, rng, node or '')
         self.counts: collections.Counter[str] = collections.Counter()
         self.cluster = cluster
         self.term = term
-        # Whom this node voted for in its term.
+        # The candidate that this node voted for in its term.
         self.vote = vote
         self.replica = loaded
-        # Nothing is known to be in force until a leader says so.
+        # No version is known to be committed until a leader says so.
         loaded.next_commit_is_whole = True
-        # The files of the folder, the snapshots among them, and what decides when which is written.
+        # The files of the data folder, the snapshots among them, and the object that decides when each is written.
         self.data_folder = data_folder.DataFolder(self, files)
         self.snapshots = snapshot_writer.SnapshotWriter(self, self.data_folder, files)
         self.persistence = persistence.Persistence(self, self.data_folder, self.snapshots, files)
-        # The changes that led to the newest version, also those that another leader made.
+        # The changes that led to the newest version, including those of earlier leaders.
         self.history = history.History.of_folder(loaded)
-        # Begins a recovered cluster, gives up a retired one.
+        # Starts a recovered cluster and abandons a retired one.
         replaced_by = storage.decode('retired', files['retired'])['for'] if 'retired' in files else ''
         self.cluster_replacement = cluster_replacement.ClusterReplacement(self, replaced_by)
-        # Stands for election, and votes for others.
+        # Runs elections of this node, and votes for other candidates.
         self.election = election.Election(self)
-        # Hears of the other control nodes without state, and forms a cluster together with them.
+        # Finds the other control nodes without state, and forms a cluster together with them.
         self.formation = formation.Formation(self, identity, location.first_start)
         self.bootstrap = bootstrap.Bootstrap(self)
-        # All that only a leader has; None unless this node leads.
+        # The state that only a leader has; None unless this node leads.
         self.leadership: leadership.Leadership | None = None
-        # What members that vote for this node or join it said they have, until it is used: {node: version}.
+        # The versions reported by members that vote for this node or join it, until they are used: {node: version}.
         self.reported_versions: dict[str, tuple[int, int]] = {}
-        # Members that said that they read transfers in chunks.
+        # Members that support chunked transfers.
         self.chunk_readers: set[str] = set()
-        # The number of the newest heartbeat round. It goes on over all terms of this process, so that no answer to
-        # a round of an earlier term is taken for one of the present term.
+        # The number of the newest heartbeat round. It is not reset between the terms of this process, so that a
+        # response to a round of an earlier term cannot be mistaken for one of the current term.
         self.heartbeat_round = 0
-        # When a change of the voting set last came into force here.
+        # When a change of the voting set was last committed here.
         self.voting_set_changed_at: datetime.timedelta | None = None
-        # Answers callers while no majority is reached.
+        # Responds to callers while no majority is reachable.
         self.majority_contact = majority_contact.MajorityContact(self)
-        # Hands over before the process exits.
+        # Hands over the leadership and the vote before the process exits.
         self.graceful_shutdown = graceful_shutdown.GracefulShutdown(self)
-        # Carries out the operations that other members request of the leader.
+        # Executes the operations that other members request of the leader.
         self.operation_service = operations.OperationService(self)
 
     # -- inputs -----------------------------------------------------------
 
     def on_start(self):
-        """Start from the folder, unless its cluster was given up."""
+        """Start from the data folder, unless its cluster was retired."""
         replaced_by = self.cluster_replacement.replaced_by
         if replaced_by:
-            self.log(f'Its cluster was given up for {replaced_by}: does nothing; clear the data folder.')
+            self.log(f'The cluster of this node was replaced by {replaced_by}: node is idle; clear its data folder.')
             return
         self.persistence.start()
         for node, row in self.replica.whole().get('members', {}).items():
@@ -110,7 +110,7 @@
         super().on_start()
 
     def on_recv(self, frame: codec.Frame):
-        """Take one frame; a voter that can't write takes only what needs no writing."""
+        """Receive one frame; a voter whose disk failed handles only frames that need no write."""
         if self.cluster_replacement.replaced_by:
             return
         if self.disk_failed and frame.get('t') not in persistence.KINDS_WITHOUT_WRITES:
@@ -118,21 +118,21 @@
         super().on_recv(frame)
 
     def on_disk_fault(self, text: str):
-        """A write failed: vote and lead no more until the disk can be written again."""
+        """Stop voting and leading after a failed write, until the disk can be written again."""
         self.persistence.note_fault(text)
         if self.is_leader:
-            # A named successor needs no pre-vote, and nobody has to find out that we are gone.
+            # A named successor needs no pre-vote, and no member has to detect by a timeout that this leader is gone.
             self.graceful_shutdown.name_successor()
             self.step_down('disk')
         self.election.abandon()
         self.set_timer('disk', persistence.DISK_RETRY)
 
     def timer_disk(self):
-        """Try whether the disk can be written again."""
+        """Retry writing everything, to find out whether the disk works again."""
         self.persistence.write_everything()
 
     def on_done(self, name: str):
-        """All writes before were durable."""
+        """Handle the confirmation that all earlier writes are durable."""
         self.persistence.note_recovered()
 
     def timer_snapshot(self):
@@ -140,15 +140,15 @@
         if not self.disk_failed:
             self.snapshots.write_next_chunk()
 
-    # -- what is durable --------------------------------------------------
+    # -- durable state ----------------------------------------------------
 
     @property
     def disk_failed(self) -> bool:
-        """Whether the disk can not be written."""
+        """True if the disk cannot be written."""
         return self.persistence.disk_failed
 
     def identity(self) -> storage.NodeFile:
-        """The file `node`: who this voter is and, as long as its cluster may come not to form, its part in forming one."""
+        """Return the file `node`: this voter's identity and, until its cluster has formed, its formation state."""
         document: storage.NodeFile = {'id': self.node, 'format': storage.FORMAT}
         if self.replica.accepted <= formation.FIRST_VERSION:
             document['may_form'] = self.formation.may_form
@@ -157,7 +157,7 @@
         return document
 
     def raise_term(self, term: int, vote: str | None = None):
-        """Enter a newer term, and vote in it; durable before anything that follows leaves this process."""
+        """Enter a newer term and record the vote in it; durable before any later message leaves this process."""
         self.term = term
         self.vote = vote
         self.election.term_raised()
@@ -170,7 +170,7 @@
         rows: replica.Rows | None,
         tables: replica.Tables | None,
     ):
-        """Accept a version, and keep the changes that led to it."""
+        """Accept a version, and add its changes to the history."""
         if tables is None:
             self.history.add(base, version, rows, self.replica.size())
         super().accept(version, base, rows, tables)
@@ -184,32 +184,33 @@
         rows: replica.Rows | None,
         tables: replica.Tables | None,
     ):
-        """Make an accepted version durable."""
+        """Write an accepted version to disk."""
         if tables is not None:
             self.persistence.write_snapshot()
         else:
             self.persistence.write_version(version, base, rows)
 
     def chunk_received(self, incoming: chunked_transfer.Incoming, rows: replica.Rows):
-        """Write a chunk of a whole state as it comes."""
+        """Write a chunk of a complete state to disk as it arrives."""
         self.snapshots.chunk_received(incoming, rows)
 
-    # -- finding others, and forming a cluster with them --------------------
+    # -- discovery and cluster formation ------------------------------------
 
     def is_empty(self) -> bool:
-        """Whether this node holds no state and belongs to no cluster."""
+        """True if this node holds no state and belongs to no cluster."""
         return self.replica.accepted == storage.NO_VERSION and not self.cluster
 
     def can_join(self) -> bool:
-        """Whether this node may become a member now."""
+        """True if this node may become a member now."""
         return not self.stopping and not self.disk_failed
 
     def discovery_targets(self) -> list[str]:
         """The addresses that are probed in this round.
 
-        A leader goes on probing: a node all of whose seeds are stale is found at
-        its old address. A node of no cluster that has formed probes all seeds that
-        anybody names, because whether they answer decides whether one may be formed.
+        A leader keeps probing, so that a node whose seeds are all stale is found at
+        its old address. A node without a formed cluster probes every seed that any
+        process names, because the share of reachable seeds decides whether a
+        cluster may be formed.
         """
         if self.is_leader:
             members = {peer.address for peer in self.peers.values()}
@@ -220,7 +221,7 @@
         return targets
 
     def discovery_details(self) -> dict[str, typing.Any]:
-        """A node of no cluster that has formed tells whom it heard of, and what of it matters for forming one."""
+        """Return the probe fields that cluster formation needs; none once a cluster has formed."""
         if not self.is_forming():
             return {}
         return {
@@ -231,14 +232,14 @@
         }
 
     def on_probe(self, message: messages.Probe):
-        """Remember who probes and which seeds it names, and answer."""
+        """Record the probing node and the seeds that it names, and respond."""
         self.bootstrap.note_named_seeds(message)
         super().on_probe(message)
 
     def on_probe_response(self, message: messages.ProbeResponse):
-        """Remember what a node said, and stand for election soon if it completes a quorum.
+        """Record a probe response, and plan an election if the sender completes a quorum.
 
-        The sooner a quorum is in sight, the shorter the time without a leader.
+        Planning at once, not in the next probe round, shortens the time without a leader.
         """
         self.bootstrap.note_named_seeds(message)
         super().on_probe_response(message)
@@ -247,7 +248,7 @@
             self.election.plan()
 
     def timer_discovery(self):
-        """Probe, and form a cluster or plan an election where that is possible."""
+        """Run a probe round, and form a cluster or plan an election if that is possible."""
         super().timer_discovery()
         if self.is_leader:
             self.cluster_replacement.announce_retired()
@@ -259,76 +260,77 @@
             self.election.plan()
 
     def founders_heard(self) -> list[str]:
-        """The control nodes heard lately that may form a cluster, sorted."""
+        """Return the sorted control nodes seen recently that may form a cluster."""
         return self.bootstrap.founders_heard()
 
     def newest_promise_heard(self) -> int:
-        """The highest number of a promise that a control node has told lately."""
+        """Return the highest promise number that a control node reported recently."""
         return self.bootstrap.newest_promise_heard()
 
     def joins_new_cluster(self):
-        """This node takes the first version of a cluster."""
+        """Reset the count of stable rounds, as this node accepts the first version of a cluster."""
         self.bootstrap.stable_rounds = 0
 
     def is_unformed(self) -> bool:
-        """Whether this node has only the first version of a cluster, and has not voted in it."""
+        """True if this node has only the first version of a cluster, and has not voted in it."""
         return self.cluster_replacement.is_unformed()
 
     def is_forming(self) -> bool:
-        """Whether this node belongs to no cluster that has formed, as far as it knows."""
+        """True if this node knows of no fully formed cluster that it belongs to."""
         return self.is_empty() or self.is_unformed()
 
     def forget_unformed(self):
-        """Forget the first version of a cluster, and write the identity anew."""
+        """Discard the first version of a cluster that did not form, and rewrite the identity file."""
         self.cluster_replacement.forget_unformed()
 
     def on_formation_proposal(self, message: messages.FormationProposal):
-        """Another node asks whether we form a cluster with it."""
+        """Handle another node's proposal to form a cluster."""
         self.formation.on_proposal(message)
 
     def on_formation_promise(self, message: messages.FormationPromise):
-        """Another node forms a cluster with us."""
+        """Handle another node's promise to form the cluster that this node proposed."""
         self.formation.on_promise(message)
 
     def on_bootstrap(self, message: messages.Bootstrap):
-        """Another node forms a cluster."""
+        """Handle the first version of a cluster that another node formed."""
         self.formation.on_bootstrap(message)
 
     def on_bootstrap_response(self, message: messages.BootstrapResponse):
-        """Another node says whether it has the first version of our cluster."""
+        """Handle another node's report whether it has the first version of our cluster."""
         self.formation.on_bootstrap_response(message)
 
     # -- elections ----------------------------------------------------------
 
     def voting_set(self) -> replica.VotingSet:
-        """The voting configuration, {committed, accepted}, with what is accepted but not committed yet."""
+        """Return the newest accepted voting configuration, {committed, accepted}; it may not be committed yet."""
         return self.replica.latest('meta', 'vc')
 
     def timer_election(self):
-        """It is this node's turn to stand for election."""
+        """Start a pre-vote, as the election delay of this node is over."""
         self.election.on_timer()
 
     def on_pre_vote(self, message: messages.PreVote):
-        """Another node asks whether it may stand for election."""
+        """Handle another node's request for a pre-vote."""
         self.election.on_pre_vote(message)
 
     def on_pre_vote_response(self, message: messages.PreVoteResponse):
-        """Another node agrees that we stand for election."""
+        """Handle a pre-vote for this node."""
         self.election.on_pre_vote_response(message)
 
     def on_start_join(self, message: messages.StartJoin):
-        """Another node stands for election."""
+        """Handle a candidate's request for a vote in a newer term."""
         self.election.on_start_join(message)
 
     def on_vote(self, message: messages.Vote):
-        """Another node votes for us."""
+        """Handle a vote for this node."""
         self.election.on_vote(message)
 
     def follow(self, message, interval: datetime.timedelta | None = None) -> bool:
-        """Follow the sender of a leader's message; False if its term is older than ours.
+        """Follow the sender of a leader's message; return False if its term is older than ours.
 
-        A leader that its successor's own frame deposes ends its term first: what
-        waits is answered, and it sends no heartbeats in the successor's term.
+        A leader that learns of its successor from such a message steps down first:
+        waiting calls get their responses, and it sends no heartbeats in the
+        successor's term.
         """
         if self.is_leader and message.term > self.term:
             self.step_down('newer term')
@@ -337,25 +339,25 @@
     # -- other clusters -----------------------------------------------------
 
     def cluster_retired(self, message: messages.Retired):
-        """A node of another cluster says which ones were given up for its own."""
+        """Handle the list of retired clusters that a node of another cluster sent."""
         self.cluster_replacement.on_cluster_retired(message)
 
     def heard_other_cluster(self, message: codec.Message) -> bool:
-        """Whether a message of another cluster than ours was of use."""
+        """Handle a message of another cluster; return False if its sender is to be refused."""
         return self.cluster_replacement.heard_other_cluster(message)
 
-    # -- majority contact: what it is told of, and what it decides ----------
+    # -- majority contact ---------------------------------------------------
 
     def timer_contact(self):
-        """Contact would be found lost now, if nothing was heard."""
+        """Check whether contact with the majority is lost."""
         self.majority_contact.on_timer()
 
     def leader_received(self, sent_at: datetime.timedelta):
-        """A message of the leader shows that what we sent at `sent_at` reached it."""
+        """Handle proof, in a message of the leader, that it received what we sent at `sent_at`."""
         self.majority_contact.note_received(sent_at)
 
     def followed(self):
-        """Another leader than before is followed from now on."""
+        """Handle a change of the leader that this node follows."""
         self.majority_contact.leader_followed()
         super().followed()
         self.election.leader_followed()
@@ -368,9 +370,9 @@
         self.majority_contact.leader_lost()
 
     def send_operation(self, key: str):
-        """Send an operation to the leader, if there is one and contact with it is not lost."""
+        """Send an operation to the leader, if there is one and contact with the majority is not lost."""
         if self.mode == 'follower' and self.majority_contact.is_lost():
-            # Kept back, so that it can still be said that it was not done.
+            # Not sent, so that the caller can still be told that the operation was not executed.
             self.majority_contact.watch()
             return
         super().send_operation(key)
@@ -380,26 +382,26 @@
     # -- shutting down ----------------------------------------------------
 
     def on_stop(self):
-        """The process was told to stop."""
+        """Begin the graceful shutdown; later requests to stop are ignored."""
         if self.stopping:
             return
         self.stopping = True
         self.graceful_shutdown.begin()
 
     def timer_request_release(self):
-        """The leader has not released this node yet."""
+        """Ask the leader again to release this node."""
         self.graceful_shutdown.request_release()
 
     def on_leave_response(self, message: messages.LeaveResponse):
-        """The leader releases this node."""
+        """Handle the leader's release of this node."""
         self.graceful_shutdown.on_leave_response(message)
 
     def timer_successor(self):
-        """The successor that this leader named does not lead yet."""
+        """Name a successor again, as none leads yet."""
         self.graceful_shutdown.name_successor()
 
     def on_succeed(self, message: messages.Succeed):
-        """The leader stops, and names this node its successor."""
+        """Start an election, as the leader shuts down and names this node its successor."""
         self.graceful_shutdown.on_succeed(message)
 
     # -- operations -------------------------------------------------------
@@ -411,45 +413,45 @@
         callback: operations.Callback,
         wait: datetime.timedelta | None = None,
     ):
-        """Have an operation carried out, here if this node leads."""
+        """Execute an operation if this node leads, else send it to the leader."""
         if self.is_leader:
             self.majority_contact.serve_call(operation, arguments, callback)
         else:
             super().request_operation(operation, arguments, callback, wait)
 
     def on_operation_request(self, message: messages.OperationRequest):
-        """Another member requests an operation of the leader."""
+        """Handle an operation that another member requests of the leader."""
         self.operation_service.on_operation_request(message)
 
     # -- for the role -----------------------------------------------------
 
     def serve(self, operation: str, arguments: operations.Arguments, callback: operations.Callback):
-        """Carry out an operation as leader; callback(result) comes once."""
+        """Execute an operation as leader; callback(result) is called exactly once."""
         callback({'status': 404, 'fault': f'no operation {operation}'})
 
     def has_effects(self, operation: str) -> bool:
-        """Whether carrying an operation out twice differs from carrying it out once."""
+        """True if executing an operation twice differs from executing it once."""
         return True
 
     def is_repeatable(self, operation: str, arguments: operations.Arguments) -> bool:
-        """Whether carrying it out again, after others acted, is the same as having carried it out once."""
+        """True if the operation may be executed again, even after other changes, with the effect of one execution."""
         return False
 
     def is_watch(self, operation: str) -> bool:
-        """Whether an operation waits for events, however long that takes."""
+        """True if the operation waits for events without a time limit."""
         return False
 
     def only_reads(self, operation: str) -> bool:
-        """Whether an operation surely changes nothing."""
+        """True if the operation is known to be read-only."""
         return False
 
-    # -- what it shows of itself ------------------------------------------
+    # -- metrics and status -----------------------------------------------
 
     def measures(self) -> typing.Iterator[tuple]:
-        """Rows for zinctrail.runtime.metrics."""
+        """Yield the rows for zinctrail.runtime.metrics."""
         yield from super().measures()
         yield from voter_status.measures(self)
 
     def status(self) -> dict[str, typing.Any]:
-        """The status document; its keys are part of the HTTP interface."""
+        """Return the status document; its keys are part of the HTTP interface."""
         return super().status() | voter_status.status(self)
--- a/zinctrail/consensus/voter_status.py
+++ b/zinctrail/consensus/voter_status.py
@@ -1,4 +1,4 @@
-"""What a voter shows of itself beside what every member does: metrics, and the status page."""
+"""The metrics and status fields that a voter adds to those of every member."""
 
 import collections
 import typing
@@ -9,7 +9,7 @@
 if typing.TYPE_CHECKING:
     import zinctrail.consensus.voter as voter
 
-# The counters that are shown, with their descriptions.
+# The counters exported as metrics, with their descriptions.
 COUNTERS = (
     ('elections', 'Elections it stood in.'),
     ('prevotes', 'Pre-votes before an election.'),
@@ -22,7 +22,7 @@
 
 
 def measures(node: 'voter.Voter') -> typing.Iterator[tuple]:
-    """Rows for zinctrail.runtime.metrics."""
+    """Yield the rows for zinctrail.runtime.metrics."""
     for name, text in COUNTERS:
         yield metrics.counter(name, text, node.counts[name])
     yield metrics.gauge('queue', 'Changes that wait for the next version.', waiting_changes(node))
@@ -34,7 +34,7 @@
 
 
 def leader_measures(node: 'voter.Voter') -> typing.Iterator[tuple]:
-    """Further rows of a leader."""
+    """Yield the additional rows of a leader."""
     yield metrics.gauge(
         'losses_borne', 'Voters that may be lost now and a majority still be there.', node.losses_borne()
     )
@@ -51,7 +51,7 @@
 
 
 def status(node: 'voter.Voter') -> dict[str, typing.Any]:
-    """What a voter adds to the status document; its keys are part of the HTTP interface."""
+    """Return the voter's fields of the status document; its keys are part of the HTTP interface."""
     document: dict[str, typing.Any] = {}
     if node.is_empty():
         counts = node.bootstrap.seed_counts()
@@ -76,12 +76,12 @@
 
 
 def waiting_changes(node: 'voter.Voter') -> int:
-    """How many changes wait for the next version."""
+    """Return the number of changes that wait for the next version."""
     return len(node.leadership.replication.queue) if node.leadership else 0
 
 
 def members(node: 'voter.Voter') -> dict[str, dict[str, typing.Any]]:
-    """The members; where this node leads, with what it knows of each."""
+    """Return the members; on the leader, with what it knows of each."""
     rows = node.replica.get('members')
     if not node.is_leader:
         return dict(rows)
@@ -89,7 +89,7 @@
 
 
 def member_as_led(node: 'voter.Voter', name: str) -> dict[str, typing.Any]:
-    """What a leader knows of one member."""
+    """Return the status fields that a leader adds for one member."""
     peer = node.peers.get(name)
     if peer is None or node.leadership is None:
         return {'ack_ms': 0, 'generation': list(node.replica.committed), 'leased': name == node.node}
--- a/zinctrail/consensus/voting_configuration.py
+++ b/zinctrail/consensus/voting_configuration.py
@@ -1,4 +1,4 @@
-"""Which control nodes vote: changed by joint consensus, one step at a time."""
+"""Decides which control nodes vote: changed by joint consensus, one step at a time."""
 
 import collections.abc
 import datetime
@@ -11,49 +11,49 @@
 import zinctrail.runtime.durations as durations
 
 SIZE_MOST = 5
-# A set of this size bears one loss; the leader never shrinks a set below it.
+# A set of this size tolerates one loss; the leader never shrinks a set below it.
 SIZE_LEAST = 3
-# How long an absent voter is waited for where it may come back as itself: a restart should cost no change.
+# How long an absent voter that may return with the same identity keeps its place: a restart should cost no change.
 RETURN_WAIT = durations.ms(2000)
-# The same where leaving it out would shrink the set and bear no further loss than keeping it does.
+# The same if removing it would shrink the set without tolerating more losses than before.
 SHRINK_WAIT = durations.ms(10000)
-# How long after a change of the set its spread over regions is left alone: in a rolling restart the next replacement
-# may repair it anyway, and each node should cost one change of the set, not two.
+# How long after a change of the set its spread over regions is not improved: in a rolling restart the next
+# replacement may improve it anyway, and each node should cost one change of the set, not two.
 SPREAD_WAIT = durations.ms(15000)
 
 
 def odd_size(count: int) -> int:
-    """The largest odd size of a voting set that `count` nodes can fill, up to SIZE_MOST."""
+    """Return the largest odd size of a voting set that `count` nodes can fill, up to SIZE_MOST."""
     return min(SIZE_MOST, count - 1 + count % 2)
 
 
 def spare_losses(voters: collections.abc.Collection, live: collections.abc.Collection) -> int:
-    """How many of the live voters may be lost before the others are no majority; negative without one."""
+    """Return how many live voters may be lost while the others are still a majority; negative without a majority."""
     return len(set(voters) & set(live)) - (len(voters) // 2 + 1)
 
 
 class VotingConfiguration(leader_part.LeaderPart):
-    """Keeps the voting set such that it survives the most losses.
+    """Changes the voting set so that it tolerates the most losses.
 
-    The set is a row of the state, {'committed': nodes, 'accepted': nodes}. A change is two versions: the joint set,
-    in which the two differ and a majority of both is needed, and the new set alone.
+    The set is a row of the state, {'committed': nodes, 'accepted': nodes}. A change takes two versions: first the
+    joint set, in which the two differ and a majority of each is needed, then the new set alone.
     """
 
     def __init__(self, voter, leadership):
         super().__init__(voter, leadership)
-        # Whether a change waits until all that is published is committed; nothing new is published until then.
+        # Whether a change waits until all published versions are committed; nothing new is published until then.
         self.waits_for_commits: bool = False
-        # The change that waits for the next version, as the row that it writes.
+        # The submitted change that waits for the next version: the row that it writes.
         self.pending_change: dict | None = None
-        # Since when each voter that is no live member has been absent: {node: when}.
+        # When each voter that is not a live member became absent: {node: when}.
         self.absent_since: dict[str, datetime.timedelta] = {}
-        # The control nodes that had caught up at least once in this term.
+        # The control nodes that have caught up at least once in this term.
         self.caught_up: set[str] = set()
 
     # -- changing the set -------------------------------------------------
 
     def reconfigure(self):
-        """Take one step towards the best voting set, then let go whoever waits to leave it."""
+        """Take one step towards the best voting set, then release the members that wait to leave."""
         replica = self.voter.replica
         if not self.is_current or not replica.get('meta', 'vc') or replica.committed[0] != self.voter.term:
             self.waits_for_commits = False
@@ -77,7 +77,7 @@
         if self.pending_change == changed:
             return
         if self.leadership.replication.in_flight:
-            # A set may only follow versions that the set before it has committed.
+            # A new set may take effect only after the previous set has committed all earlier versions.
             self.waits_for_commits = True
             return
         self._submit_change(committed, changed)
@@ -97,10 +97,13 @@
     def _change_done(self, result):
         self.pending_change = None
 
-    # -- who could vote ---------------------------------------------------
+    # -- candidates for the voting set ------------------------------------
 
     def has_nearly_all(self, peer: peers.Peer) -> bool:
-        """Whether a member is fit to vote. Not all is asked for: under load the newest versions are always in flight."""
+        """True if a member has caught up far enough to vote.
+
+        It may lack the newest versions: under load some are always in flight.
+        """
         return (
             peer.accepted is not None
             and peer.accepted[0] == self.voter.term
@@ -108,29 +111,29 @@
         )
 
     def note_caught_up(self, peer: peers.Peer):
-        """A control node may have become fit to vote: waiting for the next heartbeat would be too long without it."""
+        """Reconfigure at once if a control node has just caught up: the next heartbeat interval would be too late."""
         if peer.is_control_node and peer.node not in self.caught_up and self.has_nearly_all(peer):
             self.caught_up.add(peer.node)
             self.reconfigure()
 
     def live_control_nodes(self) -> list[str]:
-        """The control nodes that are members and stay, the leader included."""
+        """Return the control nodes that are members and do not shut down, including the leader."""
         leaving = self.leadership.membership.leaving
         others = [n for n, peer in self.leadership.peers.items() if peer.is_control_node and n not in leaving]
         return [self.voter.node, *others]
 
     def standing_by(self, voters: list[str]) -> list[str]:
-        """The control nodes outside the voting set, also those still catching up."""
+        """Return the live control nodes outside the voting set, including those still catching up."""
         voter = self.voter
         return [n for n in self.live_control_nodes() if n not in voters and not (n == voter.node and voter.stopping)]
 
     def spares(self, voters: list[str]) -> list[str]:
-        """Those of them that could vote at once."""
+        """Return the live control nodes outside the voting set that have caught up, so that they could vote at once."""
         peers_here = self.leadership.peers
         return [n for n in self.standing_by(voters) if n == self.voter.node or self.has_nearly_all(peers_here[n])]
 
     def is_lost_for_good(self, node: str) -> bool:
-        """Whether a voter said that it shuts down, or another identity was admitted at its address."""
+        """True if a voter has announced its shutdown, or another identity was admitted at its address."""
         if node in self.leadership.membership.leaving:
             return True
         address = self.voter.control_node_addresses.get(node)
@@ -138,29 +141,29 @@
         return any(row['addr'] == address and other != node for other, row in members.items())
 
     def absent_for(self, node: str) -> datetime.timedelta:
-        """For how long a voter has been no live member."""
+        """Return how long a voter has not been a live member."""
         return self.voter.now - self.absent_since[node]
 
-    # -- the set that survives the most -----------------------------------
+    # -- choice of the next set -------------------------------------------
 
     def wanted_voters(self, voters: list[str]) -> list[str]:
-        """The next set on the way to the best one; `voters` itself where nothing is to change."""
+        """Return the next set on the way to the best one; `voters` itself if no change is needed."""
         live = [n for n in self.live_control_nodes() if n in voters]
         absent = [n for n in voters if n not in live]
         self.absent_since = {n: self.absent_since.get(n, self.voter.now) for n in absent}
-        # A voter that may be back in a moment keeps its place: a restart should not cost two versions.
+        # A voter that may return soon keeps its place: a restart should not cost two versions.
         awaited = [n for n in absent if not self.is_lost_for_good(n) and self.absent_for(n) < RETURN_WAIT]
         ready = live + self.spares(voters) + awaited
         size = odd_size(len(ready))
         if size < SIZE_LEAST:
-            # Never below three by itself: a lone survivor must not decide alone.
+            # The leader never shrinks the set below three by itself: a single surviving node must not decide alone.
             return voters if len(voters) >= SIZE_LEAST or len(ready) <= len(voters) else sorted(ready)
         if size < odd_size(len(voters)) and not self._may_shrink(voters, live, absent, size):
             return voters
         return self._one_step(voters, self._pick_voters(ready, size, voters, awaited))
 
     def _may_shrink(self, voters: list[str], live: list[str], absent: list[str], size: int) -> bool:
-        """Whether a smaller set bears more losses now, or those that it leaves out are gone for long."""
+        """True if a smaller set tolerates more losses now, or all absent voters have been absent for SHRINK_WAIT."""
         if spare_losses(range(size), range(size)) > spare_losses(voters, live):
             return True
         return all(self.absent_for(n) >= SHRINK_WAIT for n in absent)
@@ -168,7 +171,7 @@
     def _pick_voters(
         self, ready: list[str], size: int, voters: list[str], awaited: collections.abc.Collection[str]
     ) -> list[str]:
-        """`size` of the ready ones, spread over regions, then cells; who votes already goes first."""
+        """Pick `size` of the ready nodes, spread over regions, then zones; current voters are preferred."""
         members = self.voter.replica.get('members')
         cells = self.voter.replica.get('cells')
         changed_at = self.voter.voting_set_changed_at
@@ -192,10 +195,13 @@
         return sorted(picked)
 
     def _one_step(self, voters: list[str], wanted: list[str]) -> list[str]:
-        """The next set on the way to `wanted`: each step keeps quorums that overlap in more than one node."""
+        """Return the next set on the way to `wanted`.
+
+        Quorums of the sets before and after each step overlap in more than one node.
+        """
         added = [n for n in wanted if n not in voters][:1]
         removed = [n for n in voters if n not in wanted]
-        # The surely lost go first: they are what the set is worse off for.
+        # Permanently lost voters are removed first: they reduce the number of losses that the set tolerates.
         removed.sort(key=lambda n: (not self.is_lost_for_good(n), n in self.leadership.peers, n))
         if len(wanted) <= len(voters):
             removed = removed[: 1 if added else 2]
@@ -205,16 +211,16 @@
             removed = removed[:1]
         return sorted((set(voters) | set(added)) - set(removed))
 
-    # -- letting go -------------------------------------------------------
+    # -- release of members that shut down --------------------------------
 
     def _is_stable(self):
-        """Whether no change of the voting set is under way."""
+        """True if no change of the voting set is in progress."""
         committed = self.voter.replica.get('meta', 'vc')
         is_joint = committed['committed'] != committed['accepted']
         return self.voter.voting_set() == committed and not is_joint and not self.waits_for_commits
 
     def release_leaving(self):
-        """Tell those that wait to leave that they may: they vote no more, or nobody can take their place."""
+        """Release the waiting members that no longer vote, or whose place no other node can take."""
         if not self._is_stable():
             return
         voters = self.voter.voting_set()['accepted']
@@ -225,19 +231,19 @@
                 self.leadership.membership.remove(peer, 'left')
 
     def _has_replacement(self, voters: list[str]) -> bool:
-        """Whether a control node stands by that does not vote yet, even if it is still catching up."""
+        """True if the voting set is about to change, or a live control node could join it, perhaps after catching up."""
         return self.wanted_voters(voters) != voters or bool(self.standing_by(voters))
 
     # -- status -----------------------------------------------------------
 
     def losses_borne(self) -> int:
-        """How many more voters may be lost now while a majority of each set still is there; -1 without one."""
+        """Return how many more voters may be lost now while each set keeps a majority; -1 without a majority."""
         voting_set = self.voter.voting_set()
         live = self.live_control_nodes()
         return max(-1, min(spare_losses(voting_set['committed'], live), spare_losses(voting_set['accepted'], live)))
 
     def awaits(self) -> list[str]:
-        """What a better voting set waits for, in words."""
+        """Return descriptions of the conditions that a better voting set waits for."""
         voting_set = self.voter.voting_set()
         waits = [] if voting_set['committed'] == voting_set['accepted'] else ['joint change under way']
         if self.waits_for_commits:
