--- a/features/replay.feature
+++ b/features/replay.feature
@@ -16,7 +16,7 @@
       | {"at_ms": -1, "do": "request", "service": "x"}              | at_ms must be      |
       | {"at_ms": 0.5, "do": "request", "service": "x"}             | is before the line |
       | {"at_ms": 1, "do": "call", "op": "launch"}                  | op must be one of  |
-      | {"at_ms": 1, "do": "operator", "verb": "evacuate"}          | takes 1 words      |
+      | {"at_ms": 1, "do": "operator", "verb": "evacuate"}          | takes 1 arguments  |
       | {"at_ms": 1, "do": "beat", "end": "x"}                      | end must be        |
 
   Scenario: Told to skip, it counts what it skipped
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -86,7 +86,7 @@
     old = next(process for process in fleet.of('core') if process is not leader)
     old.kill()
     del fleet.processes[old.name]
-    context.new = fleet.processes['core9'] = processes.FleetProcess(fleet, 'core9', 'core', old.cell)
+    context.new = fleet.processes['core9'] = processes.FleetProcess(fleet, 'core9', 'core', old.zone)
     context.new.seeds = old.seeds
     context.new.start()
 
--- a/zinctrail/cli/__init__.py
+++ b/zinctrail/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs, and the operators' command."""
+"""The command-line programs: the servers, zinctrailctl for operators, and the test tools."""
--- a/zinctrail/cli/command_line.py
+++ b/zinctrail/cli/command_line.py
@@ -1,16 +1,16 @@
-"""What the programs with commands share: how they end, and the files that their commands read."""
+"""Common functions of the command-line tools: exit with an error, open input files."""
 
 import sys
 import typing
 
 import zinctrail.errors as errors
 
-# The name that stands for standard input.
+# The file name for standard input.
 STANDARD_INPUT = '-'
 
 
 def fail(program: str, error: errors.ZinctrailError, exit_code: int) -> typing.NoReturn:
-    """End the program with an error, which is told on standard error."""
+    """Print an error to standard error and exit."""
     print(f'{program}: {error}', file=sys.stderr)
     sys.exit(exit_code)
 
--- a/zinctrail/cli/commands/__init__.py
+++ b/zinctrail/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of zinctrailctl, in a module for each group; cli.ctl parses the command line and runs one."""
+"""The commands of zinctrailctl, one module per group; cli.ctl parses the command line and runs one command."""
--- a/zinctrail/cli/commands/configuration.py
+++ b/zinctrail/cli/commands/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: read it, check it, replace it, and change labels and zones in it."""
+"""Commands that read, check and replace the operator's configuration, or change labels and zones in it."""
 
 import sys
 import typing
@@ -7,84 +7,84 @@
 import zinctrail.cli.commands.session as session
 
 
-def get(run: session.Session, args: list[str]) -> None:
-    """`get`: print the configuration in force, and its version on standard error."""
-    document = run.get('/v1/config')
+def get(client: session.Session, args: list[str]) -> None:
+    """`get`: print the configuration in force, and its generation to standard error."""
+    document = client.get('/v1/config')
     print(f'generation {document["generation"]}', file=sys.stderr)
     output.print_json(document['config'])
 
 
-def check(run: session.Session, args: list[str]) -> None:
-    """`check FILE`: print every fault of a configuration."""
-    session.require_words(args, 1)
-    run.post('/v1/config/check', {'config': output.read_json_file(args[0])})
+def check(client: session.Session, args: list[str]) -> None:
+    """`check FILE`: print every error of a configuration."""
+    session.require_args(args, 1)
+    client.post('/v1/config/check', {'config': output.read_json_file(args[0])})
     print('valid')
 
 
-def apply(run: session.Session, args: list[str]) -> None:
-    """`apply FILE [--base=N]`: bring a configuration into force."""
-    session.require_words(args, 1)
+def apply(client: session.Session, args: list[str]) -> None:
+    """`apply FILE [--base=N]`: put a configuration into force."""
+    session.require_args(args, 1)
     configuration = output.read_json_file(args[0])
-    base = run.options.base if run.options.base is not None else run.get('/v1/config')['generation']
-    _put(run, configuration, base)
+    base = client.options.base if client.options.base is not None else client.get('/v1/config')['generation']
+    _put(client, configuration, base)
 
 
-def label(run: session.Session, args: list[str]) -> None:
+def label(client: session.Session, args: list[str]) -> None:
     """`label ADDR K=V ... [K- ...]`: set or remove labels of an endpoint."""
-    session.require_words(args, 2)
-    _change(run, lambda configuration: _set_labels(configuration['labels'].setdefault(args[0], {}), args[1:]))
+    session.require_args(args, 2)
+    _change(client, lambda configuration: _set_labels(configuration['labels'].setdefault(args[0], {}), args[1:]))
 
 
-def cell(run: session.Session, args: list[str]) -> None:
+def cell(client: session.Session, args: list[str]) -> None:
     """`cell CELL [region=R] [K=V] [K-]`: set a zone's region and labels."""
-    session.require_words(args, 2)
+    session.require_args(args, 2)
 
     def set_zone(configuration: dict):
         row = configuration['cells'].setdefault(args[0], {})
-        regions = [word for word in args[1:] if word.startswith('region=')]
-        for word in regions:
-            row['region'] = word.partition('=')[2]
-        _set_labels(row.setdefault('labels', {}), [word for word in args[1:] if word not in regions])
+        regions = [arg for arg in args[1:] if arg.startswith('region=')]
+        for arg in regions:
+            row['region'] = arg.partition('=')[2]
+        _set_labels(row.setdefault('labels', {}), [arg for arg in args[1:] if arg not in regions])
 
-    _change(run, set_zone)
+    _change(client, set_zone)
 
 
-def evacuate(run: session.Session, args: list[str]) -> None:
-    """`evacuate CELL`: take a zone's traffic away."""
-    _set_evacuated(run, args, True)
+def evacuate(client: session.Session, args: list[str]) -> None:
+    """`evacuate CELL`: move traffic away from a zone."""
+    _set_evacuated(client, args, True)
 
 
-def give_back(run: session.Session, args: list[str]) -> None:
-    """`return CELL`: give a zone its traffic back."""
-    _set_evacuated(run, args, False)
+def end_evacuation(client: session.Session, args: list[str]) -> None:
+    """`return CELL`: return traffic to a zone."""
+    _set_evacuated(client, args, False)
 
 
-def _set_evacuated(run: session.Session, args: list[str], is_evacuated: bool) -> None:
-    session.require_words(args, 1)
-    _change(run, lambda configuration: configuration['cells'].setdefault(args[0], {}).update(evacuated=is_evacuated))
+def _set_evacuated(client: session.Session, args: list[str], is_evacuated: bool) -> None:
+    session.require_args(args, 1)
+    _change(client, lambda configuration: configuration['cells'].setdefault(args[0], {}).update(evacuated=is_evacuated))
 
 
-def _set_labels(labels: dict[str, str], words: list[str]) -> None:
+def _set_labels(labels: dict[str, str], label_args: list[str]) -> None:
     """Set (K=V) and remove (K-) labels."""
-    for word in words:
-        key, equals, value = word.partition('=')
+    for arg in label_args:
+        key, equals, value = arg.partition('=')
         if equals and key:
             labels[key] = value
-        elif word.endswith('-') and not equals:
-            labels.pop(word[:-1], None)
+        elif arg.endswith('-') and not equals:
+            labels.pop(arg[:-1], None)
         else:
-            raise session.CommandError(session.ExitCode.USAGE, f'{word}: must be K=V or K-')
+            raise session.CommandError(session.ExitCode.USAGE, f'{arg}: must be K=V or K-')
 
 
-def _change(run: session.Session, change: typing.Callable[[dict], None]) -> None:
-    """Read the configuration, change it, and apply it on the version that was read."""
-    document = run.get('/v1/config')
+def _change(client: session.Session, change: typing.Callable[[dict], None]) -> None:
+    """Read the configuration, change it, and apply it based on the generation that was read."""
+    document = client.get('/v1/config')
     change(document['config'])
-    _put(run, document['config'], document['generation'])
+    _put(client, document['config'], document['generation'])
 
 
-def _put(run: session.Session, configuration: dict, base: int) -> None:
-    # With an id, a retry after a lost response neither makes the change twice nor is called a conflict.
-    body = {'config': configuration, 'base': base, 'wait': run.options.wait, 'id': run.new_call_id()}
-    document = run.call_until_clear('PUT', '/v1/config', body)
+def _put(client: session.Session, configuration: dict, base: int) -> None:
+    # The id makes the call idempotent: a retry after a lost response neither makes the change twice nor gets a conflict.
+    body = {'config': configuration, 'base': base, 'wait': client.options.wait, 'id': client.new_call_id()}
+    document = client.call_until_conclusive('PUT', '/v1/config', body)
     print(f'generation {document["generation"]}' + (' in force' if document.get('in_force') else ' accepted'))
--- a/zinctrail/cli/commands/lag.py
+++ b/zinctrail/cli/commands/lag.py
@@ -1,4 +1,4 @@
-"""What is not in force where: each member is asked for its own version, and those behind for what they lack."""
+"""The `lag` command: asks each member for its version, and shows how the members that are behind differ."""
 
 import typing
 
@@ -13,7 +13,7 @@
 
 
 class LagRow(typing.TypedDict):
-    """A member by its own word; the JSON output of `lag` is a list of these. None: it does not answer."""
+    """A member's own report; the JSON output of `lag` is a list of these. None: the member does not respond."""
 
     node: str
     role: str
@@ -21,19 +21,19 @@
     http: str
     # Its version of the replicated state.
     generation: int | None
-    # How much of its lease is left, in milliseconds.
+    # The remaining time of its lease, in milliseconds.
     lease_ms: int | None
     # By how many versions it is behind.
     behind: int | None
-    # What of the operator's configuration it has otherwise.
+    # The parts of the operator's configuration that differ from the newest, as text.
     lacks: list[str]
 
 
-def lag(run: session.Session, args: list[str]) -> None:
-    """`lag`: a table of all members, then what those behind lack; --json for scripts."""
-    state = run.get('/v1/status')['state']
+def lag(client: session.Session, args: list[str]) -> None:
+    """`lag`: print a table of all members, then the differences of those that are behind; --json for scripts."""
+    state = client.get('/v1/status')['state']
     rows = list(lag_rows(state))
-    if run.options.json:
+    if client.options.json:
         output.print_json(rows)
         return
     print(f'newest: generation {state["generation"][1]}, of routes {state["routes"]}')
@@ -44,7 +44,7 @@
 
 
 def lag_rows(state: dict) -> typing.Iterator[LagRow]:
-    """A row for each member of the leader's state; asks them one after the other."""
+    """Yield a row for each member in the leader's state; the members are called one after the other."""
     newest_tables = None
     for node, member in status.by_role(state['members']):
         newest = state['generation'][1] if member['role'] == 'core' else state['routes']
@@ -58,8 +58,8 @@
             'behind': None,
             'lacks': [],
         }
-        answer_status, document = blocking_client.try_call(member['http'], 'GET', '/v1/self', timeout_s=SELF_TIMEOUT_S)
-        if answer_status == 200:
+        status_code, document = blocking_client.try_call(member['http'], 'GET', '/v1/self', timeout_s=SELF_TIMEOUT_S)
+        if status_code == 200:
             own = document['state']
             behind = max(0, newest - own['generation'][1])
             row['generation'] = own['generation'][1]
@@ -90,13 +90,13 @@
 
 
 def _tables(address: str) -> dict[str, dict]:
-    """The tables of the replicated state that a process has; none if it does not answer."""
-    answer_status, document = blocking_client.try_call(address, 'GET', '/v1/copy', timeout_s=COPY_TIMEOUT_S)
-    return document['tables'] if answer_status == 200 else {}
+    """Return the tables of a process's replicated state, or an empty dict if it does not respond."""
+    status_code, document = blocking_client.try_call(address, 'GET', '/v1/copy', timeout_s=COPY_TIMEOUT_S)
+    return document['tables'] if status_code == 200 else {}
 
 
 def differences(newest: dict[str, dict], present: dict[str, dict]) -> list[str]:
-    """What of the operator's configuration differs between two states: items with versions, settings, zones."""
+    """Describe how the operator's configuration differs between two states: items and versions, settings, zones."""
     newest_items, present_items = newest.get('items', {}), present.get('items', {})
     found = []
     for key in sorted({*newest_items, *present_items}):
--- a/zinctrail/cli/commands/output.py
+++ b/zinctrail/cli/commands/output.py
@@ -1,4 +1,4 @@
-"""What commands print, and the files that they read."""
+"""Output and input files of the commands: JSON, tables, lines."""
 
 import json
 import sys
@@ -14,21 +14,21 @@
 
 
 def print_table(rows: typing.Sequence[tuple[str, ...]]) -> None:
-    """Print rows in columns that are as wide as their widest cell; the first row is the heading."""
+    """Print rows in columns that are as wide as their widest text; the first row is the heading."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     for row in rows:
         print('  '.join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip())
 
 
-def print_lines(lines: list[str], none_found: str) -> None:
-    """Print lines; none at all is a failure."""
+def print_lines(lines: list[str], none_found_message: str) -> None:
+    """Print lines; if there are none, the command fails with `none_found_message`."""
     if not lines:
-        raise session.CommandError(session.ExitCode.FAILED, none_found)
+        raise session.CommandError(session.ExitCode.FAILED, none_found_message)
     print('\n'.join(lines))
 
 
 def read_json_file(name: str) -> typing.Any:
-    """The JSON document of a file; - is standard input."""
+    """Read the JSON document of a file; - is standard input."""
     try:
         with command_line.open_input(name) as file:
             return json.load(file)
@@ -37,7 +37,7 @@
 
 
 def read_lines(names: list[str]) -> list[str]:
-    """All lines of some files; no file is standard input."""
+    """Read all lines of some files, or of standard input if no file is named."""
     try:
         if not names:
             return list(sys.stdin)
--- a/zinctrail/cli/commands/recover.py
+++ b/zinctrail/cli/commands/recover.py
@@ -1,4 +1,4 @@
-"""`recover`: a new cluster out of replicas, once a majority of the voters is lost for good."""
+"""The `recover` command: makes a new cluster from replicas after a permanent loss of a majority of the voters."""
 
 import sys
 
@@ -9,14 +9,14 @@
 
 COPY_TIMEOUT_S = 5
 RECOVER_TIMEOUT_S = 30
-# How many letters of the cluster's name an operator has to confirm.
+# How many letters of the cluster's name an operator must enter to confirm.
 CONFIRMED_LETTERS = 8
 
 
-def recover(run: session.Session, args: list[str]) -> None:
-    """`recover [IP:PORT]`: what the processes hold; with an empty control node's address, recover on it."""
+def recover(client: session.Session, args: list[str]) -> None:
+    """`recover [IP:PORT]`: print the replicas that were found; with an empty control node's address, recover on it."""
     target = args[0] if args else None
-    plan = recovery.RecoveryPlan(_copies(run.addresses), target)
+    plan = recovery.RecoveryPlan(_fetch_replicas(client.addresses), target)
     for line in plan.summary():
         print(line)
     if target is None and len(plan.faults) == 1 and plan.target is None:
@@ -24,21 +24,21 @@
         return
     for text in plan.faults:
         print(text, file=sys.stderr)
-    # A plan without a target has a fault.
+    # A plan without a target has an error.
     if plan.faults or target is None:
         raise session.CommandError(session.ExitCode.FAILED, 'not recovered, nothing was changed')
-    _require_confirmation(plan.clusters[0], run.options.confirm)
+    _require_confirmation(plan.clusters[0], client.options.confirm)
     status, document = blocking_client.try_call(target, 'POST', '/v1/recover', plan.request_body(), RECOVER_TIMEOUT_S)
     if status != 200:
-        unknown = f'{target} does not answer; look with zinctrailctl recover before trying again'
+        unknown = f'{target} does not respond; check with zinctrailctl recover before trying again'
         raise session.CommandError(session.ExitCode.FAILED, document.get('fault', unknown))
     print(f'cluster {document["cluster"]} begins at generation {document["generation"]}')
 
 
 def _require_confirmation(cluster: str, confirmed: str | None) -> None:
-    """Have the operator name the cluster that is given up: by flag, or at the terminal."""
+    """Require the operator to name the cluster that is abandoned, by flag or at the terminal."""
     if confirmed is None and sys.stdin.isatty():
-        confirmed = input('The first 8 letters of the cluster, to give it up for good: ').strip()
+        confirmed = input('Enter the first 8 letters of the cluster to abandon it permanently: ').strip()
     if not confirmed or len(confirmed) < CONFIRMED_LETTERS or not cluster.startswith(confirmed):
         raise session.CommandError(
             session.ExitCode.USAGE,
@@ -47,15 +47,15 @@
         )
 
 
-def _copies(addresses: list[str]) -> list[recovery.ReplicaExport]:
-    """What every process that can be reached holds: those at `addresses`, and whomever they know."""
+def _fetch_replicas(addresses: list[str]) -> list[recovery.ReplicaExport]:
+    """Return the replicas of all reachable processes: those at `addresses`, and all members that they know."""
     found: dict[str, recovery.ReplicaExport | None] = {}
-    to_ask = list(addresses)
-    while to_ask:
-        address = to_ask.pop()
+    pending_addresses = list(addresses)
+    while pending_addresses:
+        address = pending_addresses.pop()
         if address in found or not parsing.is_address(address):
             continue
         status, document = blocking_client.try_call(address, 'GET', '/v1/copy', timeout_s=COPY_TIMEOUT_S)
         found[address] = document if status == 200 else None
-        to_ask += document.get('members', {}).values()
-    return [copy for copy in found.values() if copy]
+        pending_addresses += document.get('members', {}).values()
+    return [replica for replica in found.values() if replica]
--- a/zinctrail/cli/commands/session.py
+++ b/zinctrail/cli/commands/session.py
@@ -1,4 +1,4 @@
-"""What one run of zinctrailctl works with: its options, its calls to the processes, and how it ends."""
+"""A session of zinctrailctl: its options, its calls to the processes, and its exit codes."""
 
 import dataclasses
 import enum
@@ -10,14 +10,14 @@
 import zinctrail.errors as errors
 import zinctrail.transport.blocking_client as blocking_client
 
-# Every process answers these alike.
+# The pages that every process serves with the same content.
 SHARED_PAGES = ('/v1/status', '/v1/config', '/v1/epoch', '/v1/items')
 CALL_TIMEOUT_S = 30
-# For calls that may be made again until their result is clear.
+# The attempts of a call that is retried until its result is conclusive, and the pause between them.
 ATTEMPTS = 3
 RETRY_PAUSE_S = 0.3
-# The result is not known, or the process can not serve the call now.
-UNCLEAR_STATUSES = (503, 504)
+# The result of the call is unknown, or the process can not serve it now.
+INCONCLUSIVE_STATUSES = (503, 504)
 
 
 class ExitCode(enum.IntEnum):
@@ -27,12 +27,12 @@
     FAILED = 1
     USAGE = 2
     CONFLICT = 3
-    NOBODY_ANSWERS = 4
-    WAITED_IN_VAIN = 5
+    NO_RESPONSE = 4
+    WAIT_TIMED_OUT = 5
 
 
 class CommandError(errors.ZinctrailError):
-    """The command ends without success; the text is for the operator."""
+    """Raised when a command fails; the text is for the operator."""
 
     def __init__(self, exit_code: ExitCode, text: str):
         super().__init__(text)
@@ -45,23 +45,23 @@
 
     # IP:PORT of HTTP of control nodes or directories.
     addresses: list[str]
-    # The version of the configuration that a change is based on; None: the present one.
+    # The generation of the configuration that a change is based on; None: the current one.
     base: int | None = None
     # Whether to wait until a change is in force everywhere.
     wait: bool = True
     # The revision that a key must be at; None: any.
     revision: int | None = None
     lock_ms: int = 5000
-    # The first letters of the cluster that is given up.
+    # The first letters of the cluster that is abandoned.
     confirm: str | None = None
     json: bool = False
-    # How long `wait` waits.
+    # How long `wait` waits at most.
     within_s: float = 30
-    # Whether `watch` makes one call only.
+    # Whether `watch` makes only one call.
     once: bool = False
 
 
-class Answer(typing.NamedTuple):
+class Response(typing.NamedTuple):
     """An HTTP status with its JSON document."""
 
     status: int
@@ -69,90 +69,96 @@
 
 
 class Session:
-    """Calls to the first of the given processes that answers."""
+    """Makes calls to the first of the given processes that responds."""
 
     def __init__(self, options: Options):
         self.options = options
         self.addresses = list(options.addresses)
 
-    def call(self, method: str, path: str, body: dict | None = None, timeout_s: float = CALL_TIMEOUT_S) -> Answer:
-        """Make a call; a change that was sent goes to no second process, since both might make it."""
-        last_fault = 'no address in --at'
+    def call(self, method: str, path: str, body: dict | None = None, timeout_s: float = CALL_TIMEOUT_S) -> Response:
+        """Make a call; a change that was sent is not retried at another process, since both might execute it."""
+        last_error = 'no address in --at'
         for address in self.addresses:
             try:
-                answer = Answer(*blocking_client.call(address, method, path, body, timeout_s))
+                response = Response(*blocking_client.call(address, method, path, body, timeout_s))
             except blocking_client.ERRORS as error:
-                last_fault = f'{address}: {error}'
+                last_error = f'{address}: {error}'
                 if method != 'GET' and not isinstance(error, ConnectionRefusedError):
-                    text = f'{last_fault}; it may or may not have been done'
-                    raise CommandError(ExitCode.NOBODY_ANSWERS, text) from error
+                    text = f'{last_error}; {method} {path} may or may not have been executed'
+                    raise CommandError(ExitCode.NO_RESPONSE, text) from error
                 continue
-            # A process whose disk fails or that is partitioned answers without reaching the leader; the next one may.
+            # A process with a failed disk, or behind a partition, responds but can't reach the leader; the next one may.
             is_shared = method == 'GET' and path in SHARED_PAGES
-            if is_shared and answer.status in UNCLEAR_STATUSES and address != self.addresses[-1]:
+            if is_shared and response.status in INCONCLUSIVE_STATUSES and address != self.addresses[-1]:
                 continue
-            return answer
-        raise CommandError(ExitCode.NOBODY_ANSWERS, last_fault)
+            return response
+        raise CommandError(ExitCode.NO_RESPONSE, last_error)
 
     def get(self, path: str) -> dict:
-        """The document of a page."""
+        """Return the document of a page."""
         return document_of(self.call('GET', path))
 
     def post(self, path: str, body: dict) -> dict:
-        """The result of an operation that is called once."""
+        """Call an operation once and return its result."""
         return document_of(self.call('POST', path, body))
 
-    def call_until_clear(self, method: str, path: str, body: dict) -> dict:
-        """Make a call that may be repeated, at the other processes too, until its result is clear."""
-        return document_of(self._repeat(lambda: self.call(method, path, body)))
+    def call_until_conclusive(self, method: str, path: str, body: dict) -> dict:
+        """Make an idempotent call, and retry it, also at the other processes, until its result is conclusive."""
+        return document_of(self._retry(lambda: self.call(method, path, body)))
 
     def call_until_done(self, method: str, path: str, body: dict) -> dict:
-        """Make a call that may be repeated until it succeeds: a refused one is repeated as well."""
+        """Make an idempotent call, and retry it until it succeeds: a refused call is retried as well."""
 
-        def attempt() -> Answer:
-            answer = self.call(method, path, body)
-            if answer.status not in UNCLEAR_STATUSES:
-                document_of(answer)
-            return answer
+        def attempt() -> Response:
+            response = self.call(method, path, body)
+            if response.status not in INCONCLUSIVE_STATUSES:
+                document_of(response)
+            return response
 
-        return document_of(self._repeat(attempt))
+        return document_of(self._retry(attempt))
 
-    def _repeat(self, attempt: typing.Callable[[], Answer]) -> Answer:
-        """The first clear answer of some attempts, each at the next process; else the last answer or error."""
-        answer: Answer | None = None
+    def _retry(self, attempt: typing.Callable[[], Response]) -> Response:
+        """Return the first conclusive response of `ATTEMPTS` attempts, each at the next process.
+
+        If there is none, the last response is returned or the last error raised.
+        """
+        response: Response | None = None
         error: CommandError | None = None
         for attempts_left in reversed(range(ATTEMPTS)):
-            answer, error = None, None
+            response, error = None, None
             try:
-                answer = attempt()
-                if answer.status not in UNCLEAR_STATUSES:
-                    return answer
+                response = attempt()
+                if response.status not in INCONCLUSIVE_STATUSES:
+                    return response
             except CommandError as caught:
                 error = caught
             self.addresses.append(self.addresses.pop(0))
             if attempts_left:
                 time.sleep(RETRY_PAUSE_S)
-        if answer is None:
+        if response is None:
             assert error is not None
             raise error
-        return answer
+        return response
 
     def new_call_id(self) -> str:
-        """An id for a call that acts once; it begins with an epoch that the control plane still keeps."""
+        """Return a new id for an idempotent call; it begins with an epoch that the control plane still retains."""
         return f'{self.get("/v1/epoch")["epoch"]}.{uuid.uuid4().hex}'
 
 
-def document_of(answer: Answer) -> dict:
-    """The document of a successful answer; any other ends the command, and its faults go to standard error."""
-    if answer.status == 200:
-        return answer.document
-    for fault in answer.document.get('faults', ()):
-        print(f'{fault["path"]}: {fault["fault"]}', file=sys.stderr)
-    exit_code = ExitCode.CONFLICT if answer.status == 409 else ExitCode.FAILED
-    raise CommandError(exit_code, answer.document.get('fault', f'status {answer.status}'))
+def document_of(response: Response) -> dict:
+    """Return the document of a successful response.
+
+    For any other response, its errors are printed to standard error and CommandError is raised.
+    """
+    if response.status == 200:
+        return response.document
+    for error_row in response.document.get('faults', ()):
+        print(f'{error_row["path"]}: {error_row["fault"]}', file=sys.stderr)
+    exit_code = ExitCode.CONFLICT if response.status == 409 else ExitCode.FAILED
+    raise CommandError(exit_code, response.document.get('fault', f'status {response.status}'))
 
 
-def require_words(args: list[str], count: int) -> None:
-    """End the command if it has fewer words than it needs."""
+def require_args(args: list[str], count: int) -> None:
+    """Raise CommandError if a command has fewer arguments than it needs."""
     if len(args) < count:
-        raise CommandError(ExitCode.USAGE, 'too few words; see --help')
+        raise CommandError(ExitCode.USAGE, f'expected at least {count} arguments, got {len(args)}; see --help')
--- a/zinctrail/cli/commands/status.py
+++ b/zinctrail/cli/commands/status.py
@@ -1,16 +1,16 @@
-"""The state of the whole system, as the leader knows it, and of one process."""
+"""Commands that show the state of the whole system, as the leader knows it, or of one process."""
 
 import zinctrail.cli.commands.output as output
 import zinctrail.cli.commands.session as session
 
-# What the field `chill` of an endpoint without the library says of its warm-up.
+# The warm-up state of a plain endpoint, by the value of its field `chill`.
 PLAIN_WARM_UP = ('', 'cold', 'taken for cold')
 
 
-def status(run: session.Session, args: list[str]) -> None:
-    """`status`: the leader, its margins, members, endpoints and zones; --json for scripts."""
-    state = run.get('/v1/status')['state']
-    if run.options.json:
+def status(client: session.Session, args: list[str]) -> None:
+    """`status`: print the leader, its margins, members, endpoints and zones; --json for scripts."""
+    state = client.get('/v1/status')['state']
+    if client.options.json:
         output.print_json(state)
         return
     _print_cluster(state)
@@ -60,7 +60,7 @@
 
 
 def by_role(members: dict[str, dict]) -> list[tuple[str, dict]]:
-    """(node, member), sorted by role and address."""
+    """Return (node, member) for all members, sorted by role and address."""
     return sorted(members.items(), key=lambda item: (item[1]['role'], item[1]['http']))
 
 
@@ -84,7 +84,7 @@
 
 
 def _warm_up(endpoint: dict) -> str:
-    """How cold an endpoint is; those without the library report only whether they are."""
+    """Describe an endpoint's warm-up: in eighths, or for plain endpoints only whether they are warming up."""
     return PLAIN_WARM_UP[endpoint.get('chill', 0)] if endpoint.get('plain') else f'{endpoint["cold"]}/8'
 
 
@@ -98,25 +98,25 @@
     ]
 
 
-def duties(run: session.Session, args: list[str]) -> None:
-    """`duties`: which member has which singleton role, under which fencing token."""
-    state = run.get('/v1/status')['state']
+def duties(client: session.Session, args: list[str]) -> None:
+    """`duties`: print the member that has each singleton role, and its fencing token."""
+    state = client.get('/v1/status')['state']
     names = {node: f'{member["http"]} ({member["cell"]})' for node, member in state['members'].items()}
     rows = [('duty', 'holder', 'under'), ('master', names.get(state['id'], state['id']), f'term {state["term"]}')]
     rows += [('voter', names.get(node, f'{node}, not there'), '') for node in state['voters']['accepted']]
     rows += [
-        (key, names.get(duty['holder'], f'{duty["holder"]}, not there'), f'fence {duty["fence"]}')
-        for key, duty in sorted(state['duties'].items())
+        (key, names.get(assignment['holder'], f'{assignment["holder"]}, not there'), f'fence {assignment["fence"]}')
+        for key, assignment in sorted(state['duties'].items())
     ]
     output.print_table(rows)
 
 
-def ready(run: session.Session, args: list[str]) -> None:
-    """`ready`: whether the process is ready; a refusal otherwise."""
-    document = run.get('/v1/ready')
+def ready(client: session.Session, args: list[str]) -> None:
+    """`ready`: print whether the process is ready, or why not."""
+    document = client.get('/v1/ready')
     print('ready' if document['ready'] else document['why'])
 
 
-def own_state(run: session.Session, args: list[str]) -> None:
-    """`self`: what the process itself knows."""
-    output.print_json(run.get('/v1/self')['state'])
+def own_state(client: session.Session, args: list[str]) -> None:
+    """`self`: print the state of the process itself."""
+    output.print_json(client.get('/v1/self')['state'])
--- a/zinctrail/cli/controller.py
+++ b/zinctrail/cli/controller.py
@@ -1,4 +1,4 @@
-"""zinctrail-controller: a control node. Votes, leads when elected, keeps the state under --data.
+"""zinctrail-controller: a control node. Votes, leads when elected, stores its state under --data.
 
 zinctrail-controller --addr=IP:PORT --http=IP:PORT --cell=CELL --seeds=A,B,C --data=FOLDER
 """
@@ -19,7 +19,7 @@
 def make(
     location: node_location.NodeLocation, settings_: settings.Settings, rng: random.Random
 ) -> tuple[controller.Controller, transport_disk.Disk]:
-    """The state machine with the state that its data folder holds, and the folder."""
+    """Create the state machine, with the state loaded from its data folder, and the disk that it writes to."""
     if not program.FLAGS.data:
         raise errors.SettingsError('--data: is missing')
     location.directory = program.FLAGS.directory
@@ -29,9 +29,11 @@
     try:
         return controller.Controller(location, settings_, rng, disk.load()), disk
     except errors.CorruptionError as error:
-        # A node whose memory has holes must not vote under the identity that made promises, so it gets a new one.
+        # A node that lost part of its state must not vote under the identity that made promises, so it gets a new one.
         aside = disk.set_aside()
-        absl.logging.error('core: data is damaged (%s); moved to %s, starts with a new identity.', error, aside)
+        absl.logging.error(
+            'core: data folder is damaged (%s); files moved to %s, starting with a new identity.', error, aside
+        )
         location.first_start = False
         return controller.Controller(location, settings_, rng, {}), disk
 
@@ -39,7 +41,7 @@
 def run(dialect=None, argv: list[str] | None = None, changed_command_line=None) -> None:
     """Run the program; the parameters are those of `transport.program.serve`."""
     absl.flags.DEFINE_string('data', '', 'The data folder.')
-    absl.flags.DEFINE_bool('directory', False, 'Give standing answers too.')
+    absl.flags.DEFINE_bool('directory', False, 'Also answer lookups, as a zinctrail-directory does.')
     program.serve(__doc__, make, dialect, argv, changed_command_line)
 
 
--- a/zinctrail/cli/directory.py
+++ b/zinctrail/cli/directory.py
@@ -1,4 +1,4 @@
-"""zinctrail-directory: the thin daemon on each machine. Standing answers, relayed calls, credit.
+"""zinctrail-directory: the daemon on each machine. Answers lookups from its replica, relays calls, distributes credit.
 
 zinctrail-directory --addr=IP:PORT --http=IP:PORT --cell=CELL --seeds=A,B,C
 """
@@ -14,7 +14,7 @@
 def make(
     location: node_location.NodeLocation, settings_: settings.Settings, rng: random.Random
 ) -> tuple[daemon.Directory, None]:
-    """The state machine; it keeps nothing on disk."""
+    """Create the state machine; a directory stores nothing on disk."""
     return daemon.Directory(location, settings_, rng), None
 
 
--- a/zinctrail/cli/proxy.py
+++ b/zinctrail/cli/proxy.py
@@ -1,4 +1,4 @@
-"""zinctrail-proxy: a proxy. Carries requests to endpoints as rules, credit and leases allow.
+"""zinctrail-proxy: a proxy. Forwards requests to endpoints, according to its rules, credit and lease.
 
 zinctrail-proxy --addr=IP:PORT --http=IP:PORT --cell=CELL --seeds=A,B,C
 """
@@ -14,7 +14,7 @@
 def make(
     location: node_location.NodeLocation, settings_: settings.Settings, rng: random.Random
 ) -> tuple[proxy_node.Proxy, None]:
-    """The state machine; it keeps nothing on disk."""
+    """Create the state machine; a proxy stores nothing on disk."""
     return proxy_node.Proxy(location, settings_, rng), None
 
 
--- a/zinctrail/cli/replay.py
+++ b/zinctrail/cli/replay.py
@@ -1,15 +1,15 @@
-"""zinctrail-replay: recorded days, checked, generated, and replayed.
-
-  zinctrail-replay check FILE                 read it; every fault with its line
-  zinctrail-replay make SHAPE                 write a day of small, accra or ukks to standard output
-  zinctrail-replay sim FILE                   replay it inside the simulator
-  zinctrail-replay fleet FILE                 replay it against a fleet of its own on loopback
-  zinctrail-replay at FILE --dirs=IP:PORT,..  replay requests, calls and operators against a running fleet
-
-FILE may be - for standard input. --record=FILE writes what was sent, with the
-offsets at which it was, as a day again. Reports outcomes, verdicts of the
-checkers and the spread of waits.
-Exit: 0 well, 1 a checker spoke, 2 wrong use or a malformed line (nothing was sent).
+"""zinctrail-replay: checks, generates and replays recorded days.
+
+  zinctrail-replay check FILE                 check a day; a malformed line is reported with its number
+  zinctrail-replay make SHAPE                 generate a day of small, accra or ukks, to standard output
+  zinctrail-replay sim FILE                   replay a day in the simulator
+  zinctrail-replay fleet FILE                 replay a day against a new fleet on loopback
+  zinctrail-replay at FILE --dirs=IP:PORT,..  replay requests, calls and operators' commands against a running fleet
+
+FILE may be - for standard input. --record=FILE writes the events that were
+sent, with the offsets at which they were sent, as a new day. The report has the
+outcomes, the violations that checkers found, and percentiles of latencies.
+Exit: 0 no violation, 1 violations found, 2 usage error or malformed line (nothing was sent).
 """
 
 import json
@@ -34,15 +34,15 @@
     """Define the flags of all commands."""
     absl.flags.DEFINE_bool('skip', False, 'Skip malformed lines, and count them.')
     absl.flags.DEFINE_float('speed', 1.0, 'How many times as fast as recorded.', lower_bound=0.001)
-    absl.flags.DEFINE_integer('seed', 1, 'Seed of a generated day, of the simulator, of the stand-ins.')
-    absl.flags.DEFINE_float('seconds', 60, 'make: how long the day is.', lower_bound=1)
-    absl.flags.DEFINE_float('rate', None, "make: requests a second (default: the deployment's own).")
+    absl.flags.DEFINE_integer('seed', 1, 'Seed of a generated day, of the simulator, of the test endpoints.')
+    absl.flags.DEFINE_float('seconds', 60, 'make: the length of the day in seconds.', lower_bound=1)
+    absl.flags.DEFINE_float('rate', None, "make: requests per second (default: the deployment's own).")
     absl.flags.DEFINE_string('closing', 'kill_all', 'make: the closing fault.')
-    absl.flags.DEFINE_string('record', '', 'fleet, at: write what was sent, as a day.')
-    absl.flags.DEFINE_string('folder', '', 'fleet: where data and logs go.')
-    absl.flags.DEFINE_integer('parts', 0, 'fleet: play requests and calls from so many processes.', lower_bound=0)
-    absl.flags.DEFINE_bool('echo', False, 'at: endpoints give the request id back; check it.')
-    absl.flags.DEFINE_bool('raw', False, 'at: report the whole histogram, for adding up.')
+    absl.flags.DEFINE_string('record', '', 'fleet, at: write the events that were sent to this file, as a day.')
+    absl.flags.DEFINE_string('folder', '', 'fleet: the folder for data and logs.')
+    absl.flags.DEFINE_integer('parts', 0, 'fleet: replay requests and calls from this many processes.', lower_bound=0)
+    absl.flags.DEFINE_bool('echo', False, 'at: endpoints return the request id; check it.')
+    absl.flags.DEFINE_bool('raw', False, 'at: report the complete histogram, so that reports can be added up.')
     absl.flags.DEFINE_list('dirs', [], 'at: HTTP addresses of directories.')
 
 
@@ -65,13 +65,13 @@
 
 
 def print_check(day: recorded_day.RecordedDay) -> None:
-    """Print how long a day is, and how much of it could be read."""
+    """Print a day's length, and how many of its events were read and skipped."""
     length_s = day.events[-1]['at_ms'] / 1000 if day.events else 0
     print(f'{len(day.events)} events over {length_s:g} s, {len(day.skipped)} skipped')
 
 
 def replay(command: str, day: recorded_day.RecordedDay) -> replay_events.Report:
-    """Replay a day as the command says."""
+    """Replay a day in the way that the command names."""
     if command == 'sim':
         return replay_simulated.replay(day.header, day.events, FLAGS.seed, FLAGS.speed)
     options = replay_processes.Options(
@@ -91,7 +91,7 @@
 def run_command(args: list[str]) -> int:
     """Run a command and return the exit code."""
     if len(args) != 2 or args[0] not in COMMANDS:
-        raise errors.SettingsError('one command and one name; see --help')
+        raise errors.SettingsError('expected a command and a name; see --help')
     command, name = args
     if command == 'make':
         make_day(name)
--- a/zinctrail/fleet/__init__.py
+++ b/zinctrail/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real processes on loopback, and recorded days played against it."""
+"""A fleet of real processes on loopback for tests, and the replay of recorded days."""
--- a/zinctrail/fleet/deployments.py
+++ b/zinctrail/fleet/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments to try out and to test: their sizes, and the configuration that goes with them."""
+"""Example and test deployments: their sizes and configurations."""
 
 import typing
 
@@ -7,17 +7,18 @@
     """The sizes of a deployment."""
 
     regions: int
-    # Cells in each region.
+    # Zones in each region.
     cells: int
+    # Control nodes, proxies and directories.
     cores: int
     proxies: int
     dirs: int
-    # Requests and coordination calls a second.
+    # Requests and coordination calls per second.
     rate: float
     calls: float
-    # From how many members on the slower pace of many holds.
+    # From this number of members on, members are checked at the slower pace for large deployments (setting `herd`).
     herd: int
-    # The endpoints of each service.
+    # The number of endpoints of each service.
     services: dict[str, int]
     # The services whose requests may run at most once.
     once: list[str]
@@ -25,7 +26,7 @@
 
 DEADLINE_MS = 5000
 ATTEMPTS = 2
-# small, and one checked at the pace of many members; then the deployments of BRIEF-zinctrail.md.
+# A small deployment, one checked at the pace for many members, and the deployments of BRIEF-zinctrail.md.
 PRESETS: dict[str, Shape] = {
     'small': {
         'regions': 3,
@@ -38,7 +39,7 @@
         'services': {'catalog': 3, 'loans': 3},
         'once': ['loans'],
     },
-    # Few members, at the slower pace of many.
+    # Few members, checked at the slower pace for many members.
     'many': {
         'regions': 3,
         'cells': 1,
@@ -77,12 +78,12 @@
 
 
 def cells_of(shape: Shape) -> list[str]:
-    """The names of a deployment's cells; neighbours in the list are in different regions."""
-    return [f'r{region}/c{cell}' for cell in range(shape['cells']) for region in range(shape['regions'])]
+    """Return the names of a deployment's zones; neighbours in the list are in different regions."""
+    return [f'r{region}/c{zone}' for zone in range(shape['cells']) for region in range(shape['regions'])]
 
 
 def configuration_of(shape: Shape) -> dict:
-    """The configuration document of a deployment: a pool and a rule for each service."""
+    """Return the configuration document of a deployment: a pool and a rule for each service."""
     return {
         'pools': {service: {'service': service} for service in shape['services']},
         'rules': {
@@ -95,6 +96,6 @@
             }
             for service in shape['services']
         },
-        'cells': {cell: {'region': cell.split('/')[0]} for cell in cells_of(shape)},
+        'cells': {zone: {'region': zone.split('/')[0]} for zone in cells_of(shape)},
         'labels': {},
     }
--- a/zinctrail/fleet/histogram.py
+++ b/zinctrail/fleet/histogram.py
@@ -1,4 +1,4 @@
-"""Histograms of waits, in steps of 10 ms."""
+"""Latency histograms with buckets of 10 ms."""
 
 import collections
 import datetime
@@ -6,22 +6,22 @@
 
 import zinctrail.runtime.durations as durations
 
-STEP_MS = 10
+BUCKET_MS = 10
 PERCENTILES = (50, 90, 99)
 
 
-def step_of(wait_ms: int) -> int:
-    """The step that a wait in milliseconds belongs to."""
-    return wait_ms // STEP_MS * STEP_MS
+def bucket_of(wait_ms: int) -> int:
+    """Return the lower bound of the bucket that a latency in milliseconds falls into."""
+    return wait_ms // BUCKET_MS * BUCKET_MS
 
 
-def waits_of(waits: typing.Iterable[datetime.timedelta]) -> collections.Counter[int]:
-    """The histogram of some waits, by milliseconds."""
-    return collections.Counter(step_of(durations.to_ms(wait)) for wait in waits)
+def latency_histogram(waits: typing.Iterable[datetime.timedelta]) -> collections.Counter[int]:
+    """Return the histogram of some latencies, by bucket in milliseconds."""
+    return collections.Counter(bucket_of(durations.to_ms(wait)) for wait in waits)
 
 
 def spread(histogram: dict[int, int]) -> dict[str, int]:
-    """The percentiles {p50, p90, p99} of a histogram, in milliseconds."""
+    """Return the percentiles {p50, p90, p99} of a histogram, in milliseconds."""
     total = sum(histogram.values())
     percentiles: dict[str, int] = {}
     so_far = 0
--- a/zinctrail/fleet/processes.py
+++ b/zinctrail/fleet/processes.py
@@ -1,6 +1,6 @@
-"""A fleet on loopback, for trying out and testing: product processes, stand-in endpoints and callers.
+"""A fleet on loopback, for demonstrations and tests: product processes, test endpoints and clients.
 
-A test tool: it starts processes, which no product process does.
+This is a test tool: it starts processes, which no product process does.
 """
 
 import collections
@@ -29,48 +29,49 @@
 
 # The module of zinctrail.cli that runs each role.
 PROGRAMS = {'core': 'controller', 'dir': 'directory', 'prox': 'proxy'}
-# How many processes of a role a shape asks for.
-SIZE_OF_ROLE: dict[str, typing.Literal['cores', 'dirs', 'proxies']] = {
+# {role: the key of a shape that holds the number of its processes}.
+SHAPE_KEYS: dict[str, typing.Literal['cores', 'dirs', 'proxies']] = {
     'core': 'cores',
     'dir': 'dirs',
     'prox': 'proxies',
 }
-# Seeds may be processes of any role, so they are mixed.
+# Seeds of mixed roles, since they may be processes of any role.
 SEED_NAMES = ('core0', 'core1', 'dir0')
-# From which ports those of a fleet are taken: below the least that Linux gives to outgoing connections (32768).
-FIRST_PORT, END_OF_PORTS = 10000, 32768
+# The port range of fleets: below the lowest port that Linux assigns to outgoing connections (32768).
+FIRST_PORT, PORTS_END = 10000, 32768
 POLL_S = 0.05
 CONFIGURE_TIMEOUT_S = 20
-# The least time that a process has to end after the one before it.
+# The minimum time that each process is given to exit, even if the overall deadline has passed.
 MIN_EXIT_WAIT_S = 0.1
-# The slots of a stand-in endpoint, and between how many seconds a request takes there.
+# The slots of a test endpoint, and the range of its processing times in seconds.
 SLOTS = 8
 WORK_S = (0.002, 0.02)
 REQUEST_TIMEOUT = durations.ms(5000)
-# A caller that fell behind makes up for so many requests at once.
-BURST_MOST = 50
+# How many overdue requests are sent at once at most, if the sending loop fell behind.
+MAX_BURST = 50
 
 Found = typing.TypeVar('Found')
 
 
 class Ports:
-    """Free ports, reserved until just before they are used, so that no two processes get the same.
+    """Reserves free ports until just before they are used, so that no two processes get the same one.
 
-    Between its release and its use, and while its process is down, a port is
-    nobody's. So none is taken of those that the operating system gives to outgoing
-    connections: any connection of any process might be given it meanwhile.
+    Between its release and its use, and while its process is down, a port is not
+    reserved. So ports are not taken from the range that the operating system
+    assigns to outgoing connections: any process's connection could get the port
+    in that time.
     """
 
     def __init__(self):
         # Not seeded, so that two fleets try different ports.
         self.rng = random.SystemRandom()
-        # {IP:PORT: the socket that holds it}
+        # {IP:PORT: the bound socket that reserves it}.
         self.reserved: dict[str, socket.socket] = {}
 
     def take(self) -> str:
         """Reserve a port, and return its address."""
         while True:
-            port = self.rng.randrange(FIRST_PORT, END_OF_PORTS)
+            port = self.rng.randrange(FIRST_PORT, PORTS_END)
             reserved = socket.socket()
             try:
                 reserved.bind((HOST, port))
@@ -92,20 +93,20 @@
 class FleetProcess:
     """One product process of a fleet."""
 
-    def __init__(self, fleet: 'Fleet', name: str, role: str, cell: str):
+    def __init__(self, fleet: 'Fleet', name: str, role: str, zone: str):
         self.fleet = fleet
         self.name = name
         self.role = role
-        self.cell = cell
+        self.zone = zone
         # IP:PORT for frames, and for HTTP.
         self.addr = fleet.ports.take()
         self.http = fleet.ports.take()
         self.seeds: list[str] = []
-        # The operating system's process, once it was started.
+        # The operating system process, once it has been started.
         self.child: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start the process; its flags and its log are files in the fleet's folder."""
+        """Start the process; its flags and its log are written to files in the fleet's folder."""
         flag_file = self._write_flags()
         command = [f'zinctrail.cli.{PROGRAMS[self.role]}']
         if self.fleet.injects_faults:
@@ -121,12 +122,12 @@
             )
 
     def _write_flags(self) -> str:
-        """Write the process's flags, and return the file's name."""
+        """Write the process's flags to a file, and return the file's name."""
         is_first_start = self.child is None
         lines = [
             f'--addr={self.addr}',
             f'--http={self.http}',
-            f'--cell={self.cell}',
+            f'--cell={self.zone}',
             f'--seeds={",".join(self.seeds)}',
             f'--first_start={str(is_first_start).lower()}',
             *self.fleet.extra_flags,
@@ -142,28 +143,28 @@
         return os.path.join(self.fleet.folder, f'{self.name}.faults')
 
     def set_faults(self, cut: typing.Iterable['FleetProcess'] = (), wall_s: float = 0.0) -> None:
-        """From now on, frames to and from these peers are lost, and the wall clock is off by `wall_s` seconds."""
+        """Set the process's faults: drop frames to and from the peers in `cut`, shift the wall clock by `wall_s`."""
         name = self._faults_file()
         with open(name + '.tmp', 'w') as file:
             json.dump({'cut': [peer.addr for peer in cut], 'wall_s': wall_s}, file)
         os.rename(name + '.tmp', name)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal to the process if it is running."""
         if self.child and self.child.poll() is None:
             self.child.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait for it to exit."""
         self.signal(signal.SIGKILL)
         if self.child:
             self.child.wait()
 
 
 class Fleet:
-    """Product processes, with stand-in endpoints and callers on the reactor.
+    """Product processes, with test endpoints and clients that run on the reactor.
 
-    :param injects_faults: whether its processes run under zinctrail.fleet.wrapped_process.
+    :param injects_faults: whether the processes run under zinctrail.fleet.wrapped_process.
     """
 
     def __init__(
@@ -181,28 +182,29 @@
         self.injects_faults = injects_faults
         os.makedirs(folder, exist_ok=True)
         self.ports = Ports()
-        # The stand-in endpoints, by their addresses, and how often they ran each request id.
+        # {address: test endpoint}.
         self.endpoints: dict[str, endpoint.Endpoint] = {}
+        # How often the endpoints ran each request id, and the same for services whose requests run at most once.
         self.ran: collections.Counter[str] = collections.Counter()
         self.ran_once: collections.Counter[str] = collections.Counter()
-        # What callers saw: outcomes, and how long they waited (histogram.step_of).
+        # The outcomes of the clients' requests, and their latencies by bucket (histogram.bucket_of).
         self.counts: collections.Counter[str] = collections.Counter()
         self.waits: collections.Counter[int] = collections.Counter()
         self.clients: list[request_client.RequestClient] = []
-        self.stopping = False
-        # The processes by their names.
+        self.is_stopping = False
+        # {name: process}.
         self.processes: dict[str, FleetProcess] = {}
-        cells = deployments.cells_of(shape)
-        for role, size in SIZE_OF_ROLE.items():
+        zones = deployments.cells_of(shape)
+        for role, size in SHAPE_KEYS.items():
             for index in range(shape[size]):
                 name = f'{role}{index}'
-                self.processes[name] = FleetProcess(self, name, role, cells[index % len(cells)])
+                self.processes[name] = FleetProcess(self, name, role, zones[index % len(zones)])
         seeds = [self.processes[name].addr for name in SEED_NAMES]
         for process in self.processes.values():
             process.seeds = seeds
 
     def of(self, role: str) -> list[FleetProcess]:
-        """The processes of a role."""
+        """Return the processes of a role."""
         return [process for process in self.processes.values() if process.role == role]
 
     def start(self) -> None:
@@ -211,8 +213,8 @@
             process.start()
 
     def stop(self, wait: float = 15) -> None:
-        """End everything we started, gracefully first; after `wait` seconds by force."""
-        self.stopping = True
+        """Stop all processes gracefully, and kill those that are still running after `wait` seconds."""
+        self.is_stopping = True
         for process in self.processes.values():
             process.signal(signal.SIGTERM)
         deadline = time.monotonic() + wait
@@ -226,104 +228,105 @@
     def call(
         self, method: str, path: str, body: typing.Any = None, role: str = 'core', wait: float = 3
     ) -> tuple[int, typing.Any]:
-        """Ask the first process of a role that answers; (0, {}) if none."""
+        """Return the status and document from the first process of a role that responds; (0, {}) if none does."""
         for process in self.of(role):
-            answer = blocking_client.try_call(process.http, method, path, body, wait)
-            status = answer[0]
-            # A read goes on to the next process: one that is cut off does not know the result, and says so late.
+            response = blocking_client.try_call(process.http, method, path, body, wait)
+            status = response[0]
+            # A read with status 504 is retried at the next process: one that is cut off does not know the result, and
+            # responds only after a timeout.
             if status not in (0, 503) and (status != 504 or method != 'GET'):
-                return answer
+                return response
         return 0, {}
 
     def leader(self) -> FleetProcess | None:
-        """The process that leads, or None."""
+        """Return the leader's process, or None if there is no leader."""
         status, document = self.call('GET', '/v1/status')
         if status != 200:
             return None
         return next((p for p in self.processes.values() if p.addr == document['state']['addr']), None)
 
-    def until(self, condition: typing.Callable[[], Found], what: str, wait: float = 60) -> Found:
-        """Poll until a condition is true and return its value; the limit is generous and only guards against hanging."""
+    def until(self, condition: typing.Callable[[], Found], description: str, wait: float = 60) -> Found:
+        """Poll until a condition is true and return its value; the generous timeout only guards against hanging."""
         deadline = time.monotonic() + wait
         while time.monotonic() < deadline:
             found = condition()
             if found:
                 return found
             time.sleep(POLL_S)
-        raise RuntimeError(f'waited in vain for {what}; logs are in {self.folder}')
+        raise RuntimeError(f'timed out after {wait:g} s waiting for {description}; logs are in {self.folder}')
 
     def configure(self) -> None:
-        """Wait for a leader and give the fleet its configuration, if it has none."""
-        self.until(self.leader, 'a master')
+        """Wait for a leader and apply the fleet's configuration, if it has none."""
+        self.until(self.leader, 'a leader')
         status, document = self.call('GET', '/v1/config')
         if document['generation'] != 0:
             return
         body = {'config': deployments.configuration_of(self.shape), 'base': 0, 'wait': True}
         status, document = self.call('PUT', '/v1/config', body, wait=CONFIGURE_TIMEOUT_S)
         if status != 200:
-            raise RuntimeError(f'configuration was refused: {document}')
+            raise RuntimeError(f'configuration was refused with status {status}: {document}')
 
     # -- faults -----------------------------------------------------------
 
-    def bring_about(self, name: str, duration_s: float) -> None:
-        """A fault by signals to our own processes (recorded_day.REAL_FAULTS); blocks until it is over."""
+    def inject_fault(self, name: str, duration_s: float) -> None:
+        """Inject a fault of recorded_day.REAL_FAULTS into the fleet's processes or endpoints; blocks until it is over."""
         rng = random.Random(f'{name}/{len(self.ran)}')
         if name.startswith('end_'):
-            self._bring_about_at_endpoint(name, duration_s, rng)
+            self._inject_endpoint_fault(name, duration_s, rng)
             return
         number = signal_of(name)
-        victims = self._victims(name, rng)
-        for process in victims:
+        targets = self._fault_targets(name, rng)
+        for process in targets:
             process.signal(number)
         time.sleep(duration_s)
-        for process in victims:
+        for process in targets:
             if number == signal.SIGSTOP:
                 process.signal(signal.SIGCONT)
             else:
                 self._restart(process)
 
     def _restart(self, process: FleetProcess) -> None:
-        """Wait for a process to end, and start it again unless the fleet stops."""
+        """Wait for a process to exit, and start it again unless the fleet is stopping."""
         if process.child:
             process.child.wait()
-        if not self.stopping:
+        if not self.is_stopping:
             process.start()
 
-    def _victims(self, name: str, rng: random.Random) -> list[FleetProcess]:
-        """The processes that a fault strikes."""
+    def _fault_targets(self, name: str, rng: random.Random) -> list[FleetProcess]:
+        """Return the processes that a fault affects."""
         if name == 'kill_all':
             return list(self.processes.values())
         if name == 'kill_one_each':
-            return [rng.choice(self.of(role)) for role in SIZE_OF_ROLE]
+            return [rng.choice(self.of(role)) for role in SHAPE_KEYS]
         if name.endswith('_master'):
             leader = self.leader()
             return [leader] if leader else []
         return [rng.choice(self.of('prox' if 'proxy' in name else 'dir'))]
 
-    def _bring_about_at_endpoint(self, name: str, duration_s: float, rng: random.Random) -> None:
-        """A fault of an endpoint; blocks until it is over."""
-        victim = rng.choice(list(self.endpoints.values()))
+    def _inject_endpoint_fault(self, name: str, duration_s: float, rng: random.Random) -> None:
+        """Inject a fault into a random endpoint; blocks until it is over."""
+        target = rng.choice(list(self.endpoints.values()))
         if name == 'end_drains':
-            self._run_on_reactor(victim.set_state, 'draining')
+            self._run_on_reactor(target.set_state, 'draining')
             time.sleep(duration_s)
-            self._run_on_reactor(victim.set_state, 'ready')
+            self._run_on_reactor(target.set_state, 'ready')
         else:
-            self._run_on_reactor(victim.crash)
+            self._run_on_reactor(target.crash)
             time.sleep(duration_s)
-            self.reactor.callFromThread(victim.start)
+            self.reactor.callFromThread(target.start)
 
     def _run_on_reactor(self, function: typing.Callable[..., typing.Any], *args: typing.Any) -> None:
-        """Call a function on the reactor's thread, and wait until what it began is over."""
+        """Call a function on the reactor's thread, and wait for its result."""
         threads.blockingCallFromThread(self.reactor, function, *args)
 
-    def where(self) -> dict[str, typing.Any]:
-        """Where everything listens."""
+    def listen_addresses(self) -> dict[str, typing.Any]:
+        """Return the addresses of all processes and endpoints."""
         return {
             'folder': self.folder,
             'processes': {
                 name: {
                     'role': process.role,
-                    'cell': process.cell,
+                    'cell': process.zone,
                     'addr': process.addr,
                     'http': process.http,
                     'pid': process.child.pid,
@@ -341,24 +344,24 @@
             },
         }
 
-    # -- stand-ins, on the reactor ----------------------------------------
+    # -- test endpoints and clients, on the reactor -----------------------
 
     def start_endpoints(self, rng: random.Random, work_s: tuple[float, float] = WORK_S) -> None:
-        """Start the endpoints of all services; each request takes between `work_s` seconds."""
-        cells = deployments.cells_of(self.shape)
+        """Start the endpoints of all services; `work_s` is the range of processing times in seconds."""
+        zones = deployments.cells_of(self.shape)
         for service, count in self.shape['services'].items():
             for index in range(count):
-                self.start_endpoint(service, cells[index % len(cells)], rng, work_s)
+                self.start_endpoint(service, zones[index % len(zones)], rng, work_s)
 
     def start_endpoint(
         self,
         service: str,
-        cell: str,
+        zone: str,
         rng: random.Random,
         work_s: tuple[float, float] = WORK_S,
         address: str | None = None,
     ) -> endpoint.Endpoint:
-        """Start one endpoint, which answers with the id of the request."""
+        """Start one endpoint, whose responses contain the id of the request."""
         address = address or self.ports.take()
         self.ports.free(address)
         directories = [process.http for process in self.of('dir')]
@@ -372,21 +375,21 @@
             reply = json.dumps({'id': request_id, 'service': service, 'endpoint': address, 'path': path}).encode()
             return task.deferLater(self.reactor, rng.uniform(*work_s), lambda: (200, reply))
 
-        stand_in = endpoint.Endpoint(self.reactor, address, service, cell, SLOTS, handle, directories)
+        stand_in = endpoint.Endpoint(self.reactor, address, service, zone, SLOTS, handle, directories)
         self.endpoints[address] = stand_in
         stand_in.start()
         return stand_in
 
     def start_callers(self, rng: random.Random) -> task.LoopingCall:
-        """Send requests from every cell at the rate of the shape; the loop that is returned can be stopped."""
-        for index, cell in enumerate(deployments.cells_of(self.shape)):
+        """Start a loop that sends requests from every zone at the rate of the shape, and return the loop."""
+        for index, zone in enumerate(deployments.cells_of(self.shape)):
             directories = [process.http for process in self.of('dir')]
             first = index % len(directories)
             rotated = directories[first:] + directories[:first]
-            self.clients.append(request_client.RequestClient(self.reactor, rotated, cell))
+            self.clients.append(request_client.RequestClient(self.reactor, rotated, zone))
 
         def send_due(count: int) -> None:
-            for _ in range(min(count, BURST_MOST)):
+            for _ in range(min(count, MAX_BURST)):
                 self.send_request(rng)
 
         loop = task.LoopingCall.withCount(send_due)
@@ -402,14 +405,14 @@
 
         def count(response: request_client.Response) -> request_client.Response:
             self.counts[self._outcome(service, response)] += 1
-            self.waits[histogram.step_of(int(1000 * (time.monotonic() - began)))] += 1
+            self.waits[histogram.bucket_of(int(1000 * (time.monotonic() - began)))] += 1
             return response
 
         return client.send(service, '/work', body=b'{}', timeout=REQUEST_TIMEOUT).addCallback(count)
 
     def _outcome(self, service: str, response: request_client.Response) -> str:
-        """What became of a request: the outcome that the client was told, or that this is false."""
-        if response.outcome == 'ran' and not _is_answer(response, service):
+        """Return the outcome that was reported to the client, or 'wrong' or 'false-not-run' if that outcome is false."""
+        if response.outcome == 'ran' and not _is_valid_response(response, service):
             return 'wrong'
         if response.outcome == 'not-run' and self.ran[response.id]:
             return 'false-not-run'
@@ -418,33 +421,33 @@
     # -- figures ----------------------------------------------------------
 
     def figures(self) -> dict[str, typing.Any]:
-        """Counts of all processes as they are now; those of ended ones are lost."""
+        """Return the summed counters of all running processes; those of exited processes are lost."""
         totals: collections.Counter[str] = collections.Counter()
-        most_rss_kb: dict[str, int] = collections.defaultdict(int)
+        max_rss_kb: dict[str, int] = collections.defaultdict(int)
         for process in self.processes.values():
             state = blocking_client.try_call(process.http, 'GET', '/v1/self')[1].get('state')
             if state is None:
                 continue
             host = state['host']
-            most_rss_kb[process.role] = max(most_rss_kb[process.role], host['rss_kb'])
+            max_rss_kb[process.role] = max(max_rss_kb[process.role], host['rss_kb'])
             totals.update(_figures_of(process.role, host, state.get('counts', {})))
-        return {**totals, 'most_rss_mb': {role: rss_kb >> 10 for role, rss_kb in most_rss_kb.items()}}
+        return {**totals, 'most_rss_mb': {role: rss_kb >> 10 for role, rss_kb in max_rss_kb.items()}}
 
     def report(self) -> dict[str, int]:
-        """Counts of the requests so far."""
+        """Return the counts of the requests so far."""
         twice = sum(1 for count in self.ran_once.values() if count > 1)
         return {**self.counts, 'ran_ids': len(self.ran), 'ran_twice': twice}
 
 
 def signal_of(fault: str) -> signal.Signals:
-    """The signal that brings a fault of a process about."""
+    """Return the signal that causes a fault of a process."""
     if fault.startswith('kill'):
         return signal.SIGKILL
     return signal.SIGSTOP if fault.startswith('freeze') else signal.SIGTERM
 
 
-def _is_answer(response: request_client.Response, service: str) -> bool:
-    """Whether a response is that of a stand-in endpoint of the service to this very request."""
+def _is_valid_response(response: request_client.Response, service: str) -> bool:
+    """True if a response is from a test endpoint of the service, and belongs to this request."""
     if response.status != 200:
         return False
     document = json.loads(response.body)
@@ -452,7 +455,7 @@
 
 
 def _figures_of(role: str, host: dict[str, int], counts: dict[str, int]) -> dict[str, int]:
-    """What one process adds to the figures, of its host's and its own counts."""
+    """Return the share of one process in the figures, from its host's and its own counters."""
     figures = {
         'stalls': host.get('stalls', 0),
         'broke': host.get('broke', 0),
--- a/zinctrail/fleet/recorded_day.py
+++ b/zinctrail/fleet/recorded_day.py
@@ -1,6 +1,6 @@
-"""A recorded day: JSON lines; each error names its line.
+"""Recorded days: a recorded or generated workload as JSON lines. Each error names its line.
 
-The first line is a header, the others are events, by rising offset:
+The first line is a header, the others are events in the order of their offsets:
 
   {"day": 1, "shape": "accra", "seed": 7}
   {"at_ms": 12, "do": "request", "service": "loans", "cell": "r0/c0", "path": "/x", "left_ms": 5000, "home": ["r0"]}
@@ -9,7 +9,7 @@
   {"at_ms": 25, "do": "operator", "verb": "evacuate", "args": ["r0/c0"]}
   {"at_ms": 30, "do": "fault", "name": "kill_master", "last_ms": 5000}
 
-EVENTS is the registry of what may be done.
+EVENTS is the registry of the kinds of events.
 """
 
 import json
@@ -19,20 +19,20 @@
 import zinctrail.errors as errors
 import zinctrail.fleet.deployments as deployments
 
-# The operators' verbs, and how many words each takes.
+# {operator's command: the number of its arguments}.
 VERBS = {'evacuate': 1, 'return': 1, 'label': 2, 'move': 2}
 CALLS = ('number.next', 'key.put', 'key.get', 'lock.take', 'lock.free')
 ENDPOINT_STATES = ('ready', 'draining', 'leaving')
-MAX_TEXT = 500
+MAX_STRING_LENGTH = 500
 MAX_ENDPOINT = 100000
 MAX_DURATION_MS = 600000
 MAX_OFFSET_MS = 10**9
 REQUEST_TIMEOUT_MS = 5000
 # The share of requests that must stay in their home region.
 HOME_SHARE = 0.1
-# How long before the end the closing fault begins.
+# How long before the end the closing fault begins, so that recovery can be observed.
 RECOVERY_S = 20
-# Faults that a real fleet can bring about by signals to its own processes; the simulator knows more.
+# Faults that can be injected into a real fleet, by signals to its processes or at its endpoints; the simulator has more.
 REAL_FAULTS = (
     'kill_master',
     'kill_one_each',
@@ -47,7 +47,7 @@
 
 
 class RecordedDayError(errors.ZinctrailError):
-    """A line that can't be used; `line_number` counts from 1."""
+    """Raised for a malformed line; `line_number` counts from 1."""
 
     def __init__(self, line_number: int, text: str):
         super().__init__(f'line {line_number}: {text}')
@@ -55,21 +55,21 @@
 
 
 class RecordedDay(typing.NamedTuple):
-    """A day that was read."""
+    """A recorded day that was read from a file."""
 
     header: dict
     events: list[dict]
-    # The lines that were skipped: their numbers, and why.
+    # (line number, reason) of each line that was skipped.
     skipped: list[tuple[int, str]]
 
 
-def check_text(event: dict, field: str, is_required: bool = True) -> None:
-    """Raise ValueError unless a field is a text of a sensible length."""
+def check_string(event: dict, field: str, is_required: bool = True) -> None:
+    """Raise ValueError unless a field is a non-empty string of at most `MAX_STRING_LENGTH`."""
     value = event.get(field)
     if value is None and not is_required:
         return
-    if not isinstance(value, str) or not value or len(value) > MAX_TEXT:
-        raise ValueError(f'{field} must be a text')
+    if not isinstance(value, str) or not value or len(value) > MAX_STRING_LENGTH:
+        raise ValueError(f'{field} must be a string of 1 to {MAX_STRING_LENGTH} characters')
 
 
 def check_number(event: dict, field: str, low: float, high: float, is_required: bool = True) -> None:
@@ -81,32 +81,32 @@
         raise ValueError(f'{field} must be a number from {low} to {high}')
 
 
-def check_texts(event: dict, field: str) -> None:
-    """Raise ValueError unless a field is a list of texts."""
+def check_string_list(event: dict, field: str) -> None:
+    """Raise ValueError unless a field is a list of strings."""
     value = event.get(field, [])
     if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-        raise ValueError(f'{field} must be a list of texts')
+        raise ValueError(f'{field} must be a list of strings')
 
 
 def check_request(event: dict) -> None:
-    """A client sends a request."""
-    check_text(event, 'service')
-    check_text(event, 'cell', False)
-    check_text(event, 'path', False)
+    """Check a client's request."""
+    check_string(event, 'service')
+    check_string(event, 'cell', False)
+    check_string(event, 'path', False)
     check_number(event, 'left_ms', 1, MAX_DURATION_MS, False)
-    check_texts(event, 'home')
+    check_string_list(event, 'home')
 
 
 def check_call(event: dict) -> None:
-    """An application makes a coordination call."""
+    """Check an application's coordination call."""
     if event.get('op') not in CALLS:
         raise ValueError(f'op must be one of {", ".join(CALLS)}')
     if not isinstance(event.get('args', {}), dict):
         raise ValueError('args must be an object')
 
 
-def check_beat(event: dict) -> None:
-    """An endpoint changes its state."""
+def check_heartbeat(event: dict) -> None:
+    """Check an endpoint's change of state."""
     check_number(event, 'end', 0, MAX_ENDPOINT)
     if event.get('state', 'ready') not in ENDPOINT_STATES:
         raise ValueError('state must be ready, draining or leaving')
@@ -114,25 +114,25 @@
 
 
 def check_operator(event: dict) -> None:
-    """An operator changes the configuration."""
+    """Check an operator's change of the configuration."""
     if event.get('verb') not in VERBS:
         raise ValueError(f'verb must be one of {", ".join(VERBS)}')
-    check_texts(event, 'args')
+    check_string_list(event, 'args')
     if len(event.get('args', [])) != VERBS[event['verb']]:
-        raise ValueError(f'{event["verb"]} takes {VERBS[event["verb"]]} words')
+        raise ValueError(f'{event["verb"]} takes {VERBS[event["verb"]]} arguments')
 
 
 def check_fault(event: dict) -> None:
-    """A fault begins."""
-    check_text(event, 'name')
+    """Check the beginning of a fault."""
+    check_string(event, 'name')
     check_number(event, 'last_ms', 0, MAX_DURATION_MS, False)
 
 
-# By what is done: the check of an event, and the fields that it may have.
+# {kind of event: (the check of such an event, the fields that it may have)}.
 EVENTS = {
     'request': (check_request, ('service', 'cell', 'path', 'left_ms', 'home')),
     'call': (check_call, ('op', 'args')),
-    'beat': (check_beat, ('end', 'state', 'cold')),
+    'beat': (check_heartbeat, ('end', 'state', 'cold')),
     'operator': (check_operator, ('verb', 'args')),
     'fault': (check_fault, ('name', 'last_ms')),
 }
@@ -166,7 +166,7 @@
 def read(lines: typing.Iterable[str], skip: bool = False) -> RecordedDay:
     """Read a day.
 
-    :param skip: skip malformed events; the header is never skipped, since nothing can be understood without it.
+    :param skip: skip malformed events; a malformed header is never skipped, since the events depend on it.
     :raises RecordedDayError: at the first malformed line.
     """
     header: dict | None = None
@@ -202,35 +202,35 @@
 
 
 class Generator:
-    """Draws the events of a deployment's day."""
+    """Generates the random events of a deployment's day."""
 
     def __init__(self, shape_name: str, seed: int, seconds: float):
         self.shape = deployments.PRESETS[shape_name]
         self.rng = random.Random(f'{shape_name}/{seed}')
-        self.cells, self.services = deployments.cells_of(self.shape), sorted(self.shape['services'])
+        self.zones, self.services = deployments.cells_of(self.shape), sorted(self.shape['services'])
         self.seconds = seconds
         self.end_ms = 1000.0 * seconds
         self.events: list[dict] = []
 
-    def add_steadily(self, rate: float, make_event: typing.Callable[[], dict]) -> None:
-        """Add events at random times, `rate` a second on average."""
+    def add_poisson_events(self, rate: float, make_event: typing.Callable[[], dict]) -> None:
+        """Add events at random times, a Poisson process with `rate` events per second."""
         at_ms = self.rng.expovariate(rate / 1000)
         while at_ms < self.end_ms:
             self.events.append({'at_ms': round(at_ms, 1), **make_event()})
             at_ms += self.rng.expovariate(rate / 1000)
 
     def request(self) -> dict:
-        """A request of any service, from any cell."""
-        cell = self.rng.choice(self.cells)
+        """Return a request to a random service, from a random zone."""
+        zone = self.rng.choice(self.zones)
         service = self.rng.choice(self.services)
-        event = {'do': 'request', 'service': service, 'cell': cell, 'path': '/work', 'left_ms': REQUEST_TIMEOUT_MS}
-        # Some residents' data must stay in their region.
+        event = {'do': 'request', 'service': service, 'cell': zone, 'path': '/work', 'left_ms': REQUEST_TIMEOUT_MS}
+        # Some clients' data must stay in their region.
         if self.rng.random() < HOME_SHARE:
-            event['home'] = [cell.split('/')[0]]
+            event['home'] = [zone.split('/')[0]]
         return event
 
     def call(self) -> dict:
-        """A coordination call of any kind."""
+        """Return a coordination call of a random kind."""
         operation = self.rng.choice(CALLS)
         if operation.startswith('key'):
             args = {'key': f'k{self.rng.randrange(20)}'}
@@ -242,29 +242,29 @@
             args = {'name': 'orders'}
         return {'do': 'call', 'op': operation, 'args': args}
 
-    def add_planned(self, closing: str) -> None:
-        """Add operators' work, some faults, and a closing fault early enough that recovery can be seen."""
-        last_cell = self.cells[-1]
-        planned: list[tuple[float, str, dict]] = [
-            (0.10, 'operator', {'verb': 'evacuate', 'args': [last_cell]}),
-            (0.20, 'operator', {'verb': 'return', 'args': [last_cell]}),
+    def add_scheduled_events(self, closing: str) -> None:
+        """Add operators' commands, some faults, and a closing fault early enough that recovery can be observed."""
+        last_zone = self.zones[-1]
+        scheduled: list[tuple[float, str, dict]] = [
+            (0.10, 'operator', {'verb': 'evacuate', 'args': [last_zone]}),
+            (0.20, 'operator', {'verb': 'return', 'args': [last_zone]}),
             (0.25, 'fault', {'name': 'kill_master', 'last_ms': 5000}),
             (0.35, 'beat', {'end': 0, 'state': 'draining'}),
             (0.45, 'beat', {'end': 0, 'state': 'ready'}),
             (max(0.5, 1 - RECOVERY_S / self.seconds), 'fault', {'name': closing, 'last_ms': 3000}),
         ]
-        self.events += [{'at_ms': round(self.end_ms * part, 1), 'do': do, **more} for part, do, more in planned]
+        self.events += [{'at_ms': round(self.end_ms * part, 1), 'do': do, **more} for part, do, more in scheduled]
 
 
 def generate(
     shape_name: str, seed: int, seconds: float, closing: str = 'kill_all', rate: float | None = None
 ) -> tuple[dict, list[dict]]:
-    """The header and the events of a day: steady traffic, coordination, operators' work, faults, a closing fault."""
+    """Return the header and the events of a day: requests, coordination calls, operators' commands, faults."""
     generator = Generator(shape_name, seed, seconds)
     shape = generator.shape
     scale = (rate or shape['rate']) / shape['rate']
-    generator.add_steadily(shape['rate'] * scale, generator.request)
-    generator.add_steadily(shape['calls'] * scale, generator.call)
-    generator.add_planned(closing)
+    generator.add_poisson_events(shape['rate'] * scale, generator.request)
+    generator.add_poisson_events(shape['calls'] * scale, generator.call)
+    generator.add_scheduled_events(closing)
     events = sorted(generator.events, key=lambda event: event['at_ms'])
     return {'day': 1, 'shape': shape_name, 'seed': seed, 'seconds': seconds}, events
--- a/zinctrail/fleet/replay_events.py
+++ b/zinctrail/fleet/replay_events.py
@@ -1,4 +1,4 @@
-"""What replays in the simulator and against processes have in common."""
+"""Common code of replays in the simulator and against processes."""
 
 import collections
 import typing
@@ -9,19 +9,19 @@
 import zinctrail.client.coordination as coordination
 import zinctrail.errors as errors
 
-# The calls that must not take effect twice when they are sent again.
+# The calls that must not take effect twice when they are retried.
 CALLS_WITH_EFFECT = ('number.next', 'key.put')
 
 
 class Report(typing.NamedTuple):
-    """What a replay measured, and the rules that it saw broken."""
+    """The figures that a replay measured, and the violations of guarantees that it found."""
 
     figures: dict
     violations: list[str]
 
 
 def configuration_change(verb: str, args: list[str]) -> typing.Callable[[dict], None]:
-    """The function that applies an operator's verb to a configuration document."""
+    """Return a function that applies an operator's command to a configuration document."""
 
     def change(document: dict) -> None:
         if verb in ('evacuate', 'return'):
@@ -38,7 +38,7 @@
 def make_call(
     client: coordination.CoordinationClient, event: dict, counts: collections.Counter | dict
 ) -> defer.Deferred:
-    """Make the coordination call of an event, and count how it ended."""
+    """Make the coordination call of an event, and count its outcome."""
     operation, args = event['op'], event.get('args', {})
     path = '/v1/' + operation.replace('.', '/')
     call = client.call_once(path, args) if operation in CALLS_WITH_EFFECT else client.call('POST', path, args)
--- a/zinctrail/fleet/replay_processes.py
+++ b/zinctrail/fleet/replay_processes.py
@@ -1,4 +1,4 @@
-"""Replays a recorded day against real processes: a fleet of its own, or one that runs already."""
+"""Replays a recorded day against real processes: a new fleet, or one that is already running."""
 
 import dataclasses
 import datetime
@@ -28,44 +28,47 @@
 import zinctrail.transport.blocking_client as blocking_client
 
 ms = durations.ms
-# Twisted puts an object in the place of this module.
+# Twisted replaces this module with a reactor object.
 reactor: typing.Any = twisted.internet.reactor
 DEFAULT_TIMEOUT_MS = 5000
 DEFAULT_FAULT_MS = 3000
-# How long a read and a change of the configuration may take.
+# The timeouts of reading and of changing the configuration.
 READ_TIMEOUT_S = 5
 CHANGE_TIMEOUT_S = 15
-# How soon to look again for the next event, and for calls that are still under way.
+# The minimum delay until the next event, and the interval of checks for outstanding calls after the last event.
 MIN_STEP_S = 0.001
-LAST_STEP_S = 0.05
-# The events that a fleet's clients and applications cause, which may be played from processes of their own.
+DRAIN_POLL_S = 0.05
+# The events that clients and applications cause, which may be replayed from separate processes.
 LOAD_EVENTS = ('request', 'call')
-# The events that need a fleet of our own.
+# The events that need a fleet that was started for the replay.
 OWN_FLEET_EVENTS = ('fault', 'beat')
 
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """How a day is replayed."""
+    """Options of a replay."""
 
     # How many times as fast as recorded.
     speed: float = 1.0
-    # The seed of the stand-in endpoints.
+    # The seed of the test endpoints.
     seed: int = 1
-    # Whether endpoints return the id of a request, so that it is checked.
+    # Whether endpoints return the id of a request, so that it can be checked.
     echo: bool = False
-    # Whether the report holds the whole histogram, to be added to others.
+    # Whether the report contains the complete histogram, so that reports can be added up.
     raw: bool = False
-    # From how many processes requests and calls are played; 0 for this process alone.
+    # The number of separate processes that replay requests and calls; 0 for this process alone.
     parts: int = 0
-    # The file that what was sent is written to, as a day; empty for none.
+    # The file that the sent events are written to, as a day; empty for none.
     record: str = ''
     # Where data and logs go; empty for a new temporary folder.
     folder: str = ''
 
 
 class ProcessReplay:
-    """Events carried out against the directories of a fleet; faults and endpoints' events need a fleet of our own."""
+    """Replays events against the directories of a fleet.
+
+    Faults and endpoints' events are only replayed if `fleet` is given, a fleet that was started for the replay.
+    """
 
     def __init__(self, header: dict, directories: list[str], options: Options, fleet: processes.Fleet | None = None):
         self.header = header
@@ -73,22 +76,22 @@
         self.options = options
         self.fleet = fleet
         self.rng = random.Random(header.get('seed', 1))
-        # By the clients' cell and home regions.
+        # {(zone, home regions): client}.
         self.request_clients: dict[tuple[str, tuple[str, ...]], request_client.RequestClient] = {}
         self.outcomes: dict[str, int] = {}
         self.calls: dict[str, int] = {}
         self.waits: list[datetime.timedelta] = []
-        # How late the latest event was.
+        # The largest delay of an event behind its offset.
         self.max_delay_ms = 0.0
-        self.under_way = 0
+        self.outstanding = 0
         self.coordination_client = coordination.CoordinationClient(reactor, directories)
         self.sent: list[dict] = []
-        # The ids of requests that were told not to have run.
+        # The ids of requests that were reported as not run.
         self.not_run: list[str] = []
         self.checks_echo = options.echo or fleet is not None
 
     def run(self, events: list[dict]) -> defer.Deferred:
-        """Carry out all events; the Deferred fires when the last of their results is there."""
+        """Replay all events; the Deferred fires after the last of their results."""
         self.events = events
         self.done: defer.Deferred = defer.Deferred()
         self.began = time.monotonic()
@@ -97,39 +100,39 @@
         return self.done
 
     def now_ms(self) -> float:
-        """The offset within the day that is reached."""
+        """Return the current offset within the day."""
         return (time.monotonic() - self.began) * 1000 * self.options.speed
 
     def step(self) -> None:
-        """Carry out the events that are due, and come back for the next one."""
+        """Replay the events that are due, and schedule the next step."""
         now = self.now_ms()
         while self.position < len(self.events) and self.events[self.position]['at_ms'] <= now:
             event = self.events[self.position]
             self.position += 1
-            # Reported, because a replay that can't keep up must say so.
+            # Reported, so that a replay that can't keep up is visible.
             self.max_delay_ms = max(self.max_delay_ms, now - event['at_ms'])
             self.sent.append(dict(event, at_ms=round(now, 1)))
             getattr(self, 'do_' + event['do'])(event)
         if self.position < len(self.events):
             until_next_s = (self.events[self.position]['at_ms'] - self.now_ms()) / 1000 / self.options.speed
             reactor.callLater(max(MIN_STEP_S, until_next_s), self.step)
-        elif self.under_way:
-            reactor.callLater(LAST_STEP_S, self.step)
+        elif self.outstanding:
+            reactor.callLater(DRAIN_POLL_S, self.step)
         else:
             self.done.callback(None)
 
     def track(self, result: defer.Deferred) -> defer.Deferred:
-        """Count a result as under way until it is there."""
-        self.under_way += 1
+        """Count a result as outstanding until its Deferred fires."""
+        self.outstanding += 1
 
         def ended(value: typing.Any) -> typing.Any:
-            self.under_way -= 1
+            self.outstanding -= 1
             return value
 
         return result.addBoth(ended)
 
     def request_client(self, event: dict) -> request_client.RequestClient:
-        """The client of an event's cell and home regions; each starts with another directory."""
+        """Return the client of an event's zone and home regions; each has the directories in another random order."""
         key = (event.get('cell', ''), tuple(event.get('home', ())))
         if key not in self.request_clients:
             directories = self.directories[:]
@@ -138,24 +141,24 @@
         return self.request_clients[key]
 
     def do_request(self, event: dict) -> None:
-        """Send a request, and note its outcome and its wait."""
+        """Send a request, and record its outcome and its latency."""
         client = self.request_client(event)
         began = time.monotonic()
         timeout = ms(event.get('left_ms', DEFAULT_TIMEOUT_MS))
-        reply = self.track(client.send(event['service'], event.get('path', '/'), body=b'{}', timeout=timeout))
-
-        def note(reply: request_client.Response) -> None:
-            outcome = reply.outcome
-            if outcome == 'not-run' and reply.id:
-                self.not_run.append(reply.id)
-            # Stand-in endpoints return the id of the request; others need not.
-            is_checked = self.checks_echo and outcome == 'ran' and reply.status == 200
-            if is_checked and json.loads(reply.body)['id'] != reply.id:
+        response = self.track(client.send(event['service'], event.get('path', '/'), body=b'{}', timeout=timeout))
+
+        def record_response(response: request_client.Response) -> None:
+            outcome = response.outcome
+            if outcome == 'not-run' and response.id:
+                self.not_run.append(response.id)
+            # Test endpoints return the id of the request; others need not.
+            is_checked = self.checks_echo and outcome == 'ran' and response.status == 200
+            if is_checked and json.loads(response.body)['id'] != response.id:
                 outcome = 'wrong'
             self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
             self.waits.append(ms(1000 * (time.monotonic() - began)))
 
-        reply.addCallback(note)
+        response.addCallback(record_response)
 
     def do_call(self, event: dict) -> None:
         """Make a coordination call."""
@@ -185,7 +188,7 @@
         return 'failed'
 
     def do_beat(self, event: dict) -> None:
-        """Change the state of an endpoint of our own fleet."""
+        """Change the state of an endpoint of the replay's own fleet."""
         if self.fleet:
             endpoints = list(self.fleet.endpoints.values())
             endpoint = endpoints[event['end'] % len(endpoints)]
@@ -193,13 +196,13 @@
             endpoint.set_state(event.get('state', 'ready'))
 
     def do_fault(self, event: dict) -> None:
-        """Inject a fault into our own fleet."""
+        """Inject a fault into the replay's own fleet."""
         if self.fleet:
             duration_s = event.get('last_ms', DEFAULT_FAULT_MS) / 1000
-            self.track(threads.deferToThread(self.fleet.bring_about, event['name'], duration_s))
+            self.track(threads.deferToThread(self.fleet.inject_fault, event['name'], duration_s))
 
     def add(self, report: dict) -> None:
-        """Add the raw report of a part."""
+        """Add the raw report of a process that replayed a part of the events."""
         for mine, theirs in ((self.outcomes, report['outcomes']), (self.calls, report['calls'])):
             for name, count in theirs.items():
                 mine[name] = mine.get(name, 0) + count
@@ -208,8 +211,8 @@
         self.not_run += report['not_run']
 
     def report(self) -> replay_events.Report:
-        """What was measured, and the rules that were broken."""
-        waits = histogram.waits_of(self.waits)
+        """Return the figures that were measured, and the violations that were found."""
+        waits = histogram.latency_histogram(self.waits)
         figures = {
             'outcomes': self.outcomes,
             'calls': self.calls,
@@ -221,7 +224,7 @@
         return replay_events.Report(figures, self.violations())
 
     def violations(self) -> list[str]:
-        """The rules that were broken, as far as this side sees it."""
+        """Return the violations of guarantees that are visible to clients and test endpoints."""
         found = []
         if self.fleet:
             twice = sum(1 for count in self.fleet.ran_once.values() if count > 1)
@@ -234,14 +237,14 @@
         return found
 
     def record(self) -> None:
-        """Write what was sent as a day, if a file for it was named."""
+        """Write the sent events as a day, if a file for it was named."""
         if self.options.record:
             with open(self.options.record, 'w', encoding='utf-8') as file:
                 file.writelines(line + '\n' for line in recorded_day.write(self.header, self.sent))
 
 
 def run_on_loop(start: typing.Callable[[], defer.Deferred]) -> replay_events.Report:
-    """Run the reactor around one replay; `start()` gives a Deferred of its report."""
+    """Run the reactor for one replay; `start()` returns a Deferred of its report."""
     results: list[typing.Any] = []
 
     def stop() -> None:
@@ -264,24 +267,24 @@
 
 
 def replay_part(header: dict, events: list[dict], directories: list[str], speed: float) -> dict:
-    """Replay some of the events from a process of its own; blocks until its raw report is there."""
+    """Replay some of the events from a separate process; blocks until it has returned its raw report."""
     command = [sys.executable, '-m', 'zinctrail.cli.replay', 'at', '-']
     command += [f'--dirs={",".join(directories)}', '--raw', '--echo', f'--speed={speed}']
     finished = subprocess.run(
         command, input='\n'.join(recorded_day.write(header, events)), stdout=subprocess.PIPE, text=True
     )
     if finished.returncode:
-        raise errors.SettingsError(f'a part ended with code {finished.returncode}')
+        raise errors.SettingsError(f'a process that replays a part exited with code {finished.returncode}')
     return json.loads(finished.stdout)
 
 
 def replay_in_own_fleet(header: dict, events: list[dict], options: Options) -> replay_events.Report:
-    """Replay a day against a fleet that is started for it and stopped after it."""
+    """Replay a day against a fleet that is started before and stopped after the replay."""
     unknown = [
         event['name'] for event in events if event['do'] == 'fault' and event['name'] not in recorded_day.REAL_FAULTS
     ]
     if unknown:
-        raise errors.SettingsError(f'only the simulator can bring about: {", ".join(sorted(set(unknown)))}')
+        raise errors.SettingsError(f'faults only available in the simulator: {", ".join(sorted(set(unknown)))}')
     folder = options.folder or tempfile.mkdtemp(prefix='replay-')
     fleet = processes.Fleet(deployments.PRESETS[header['shape']], folder, reactor)
     fleet.start()
@@ -293,7 +296,7 @@
 
 @defer.inlineCallbacks
 def replay_with_fleet(fleet: processes.Fleet, header: dict, events: list[dict], options: Options):
-    """Replay a day once the fleet serves; the Deferred gives the report."""
+    """Replay a day once the fleet is configured and has all endpoints; the Deferred fires with the report."""
     yield threads.deferToThread(fleet.configure)
     fleet.start_endpoints(random.Random(options.seed))
     wanted = sum(fleet.shape['services'].values())
@@ -314,9 +317,9 @@
 
 @defer.inlineCallbacks
 def replay_in_parts(replay: ProcessReplay, fleet: processes.Fleet, events: list[dict]):
-    """Replay requests and calls from processes of their own, everything else from this one.
+    """Replay requests and calls from separate processes, all other events from this process.
 
-    One process can't send hundreds of requests a second and run the stand-in endpoints as well.
+    One process can't send hundreds of requests per second and run the test endpoints as well.
     """
     options = replay.options
     load = [event for event in events if event['do'] in LOAD_EVENTS]
@@ -334,11 +337,14 @@
 
 
 def replay_at(header: dict, events: list[dict], directories: list[str], options: Options) -> replay_events.Report:
-    """Replay a day's requests, calls and operators against a fleet that runs already."""
+    """Replay a day's requests, calls and operators' commands against a fleet that is already running."""
     if not directories:
         raise errors.SettingsError('--dirs: is missing')
     if any(event['do'] in OWN_FLEET_EVENTS for event in events):
-        print('zinctrail-replay: faults and beats are left out: the fleet is not ours', file=sys.stderr)
+        print(
+            'zinctrail-replay: skipping faults and heartbeats: they need a fleet started for the replay',
+            file=sys.stderr,
+        )
     events = [event for event in events if event['do'] not in OWN_FLEET_EVENTS]
     replay = ProcessReplay(header, list(directories), options)
 
--- a/zinctrail/fleet/replay_simulated.py
+++ b/zinctrail/fleet/replay_simulated.py
@@ -1,4 +1,4 @@
-"""Replays a recorded day in the simulator, judged by its checkers."""
+"""Replays a recorded day in the simulator, whose checkers then look for violations."""
 
 import zinctrail.errors as errors
 import zinctrail.fleet.histogram as histogram
@@ -11,14 +11,14 @@
 import zinctrail.simulation.days as days
 
 ms = durations.ms
-# How long the deployment runs before the first event, and after the last one.
+# How long the simulated deployment runs before the first event, and after the last one.
 START_MS = 1000
 END_MS = 15000
 DEFAULT_TIMEOUT_MS = 5000
 
 
 class SimulatedReplay:
-    """Events carried out in a simulated deployment of the day's shape."""
+    """Replays events in a simulated deployment of the day's shape."""
 
     def __init__(self, header: dict, seed: int):
         self.day = days.Day(seed, shape=header['shape'])
@@ -27,27 +27,29 @@
         self.callers = {}
 
     def run(self, events: list[dict], speed: float) -> replay_events.Report:
-        """Carry out all events, `speed` times as fast as recorded."""
+        """Replay all events, `speed` times as fast as recorded."""
         deployment, world = self.deployment, self.world
         deployment.start()
-        for cell in deployment.cells:
-            self.caller(cell, ())
+        for zone in deployment.cells:
+            self.caller(zone, ())
         self.library = application_actor.Application(deployment, 'app', deployment.cells[0]).library
         world.run(ms(START_MS))
         began = world.now
         for event in events:
             world.at(began + ms(event['at_ms'] / speed), getattr(self, 'do_' + event['do']), event)
         world.run(ms((events[-1]['at_ms'] if events else 0) / speed + END_MS))
-        waits = histogram.waits_of(reply.answered_at - reply.sent_at for reply in deployment.notes.replies)
+        waits = histogram.latency_histogram(
+            response.answered_at - response.sent_at for response in deployment.notes.replies
+        )
         figures = {'outcomes': deployment.tally(), 'calls': self.counts, 'waits_ms': histogram.spread(waits)}
         return replay_events.Report(figures, checks.run(deployment))
 
-    def caller(self, cell: str, home: tuple[str, ...]) -> caller_actor.Caller:
-        """The client of a cell that sends requests with these home regions."""
-        key = (cell, home)
+    def caller(self, zone: str, home: tuple[str, ...]) -> caller_actor.Caller:
+        """Return the client in a zone that sends requests with these home regions."""
+        key = (zone, home)
         if key not in self.callers:
             self.callers[key] = caller_actor.Caller(
-                self.deployment, f'caller{len(self.callers)}', cell, [], 1, list(home)
+                self.deployment, f'caller{len(self.callers)}', zone, [], 1, list(home)
             )
         return self.callers[key]
 
@@ -66,7 +68,7 @@
         endpoint = self.deployment.endpoints[event['end'] % len(self.deployment.endpoints)]
         endpoint.admission.cold = event.get('cold', 0.0)
         if event.get('state') == 'ready' and endpoint.admission.state != 'ready':
-            # An endpoint that has drained comes back as another incarnation.
+            # An endpoint that has drained returns as a new incarnation.
             endpoint.kill()
             endpoint.start()
         else:
@@ -80,7 +82,7 @@
             self.deployment.operator.change(replay_events.configuration_change(event['verb'], event['args']))
 
     def do_fault(self, event: dict) -> None:
-        """Inject a fault; what it takes away comes back by itself, and service is owed only from then on."""
+        """Inject a fault that ends by itself; the checkers require service only from its end on."""
         duration = days.FAULTS[event['name']](self.day)
         self.world.after(
             duration, lambda: self.deployment.notes.losses.append(actor_notes.Loss(self.world.now, event['name']))
@@ -88,8 +90,8 @@
 
 
 def replay(header: dict, events: list[dict], seed: int, speed: float) -> replay_events.Report:
-    """Replay a day; raises SettingsError if it holds faults that the simulator doesn't know."""
+    """Replay a day; raises SettingsError if it contains faults that are unknown to the simulator."""
     unknown = [event['name'] for event in events if event['do'] == 'fault' and event['name'] not in days.FAULTS]
     if unknown:
-        raise errors.SettingsError(f'no such faults in the simulator: {", ".join(sorted(set(unknown)))}')
+        raise errors.SettingsError(f'faults unknown to the simulator: {", ".join(sorted(set(unknown)))}')
     return SimulatedReplay(header, seed).run(events, speed)
--- a/zinctrail/fleet/wrapped_process.py
+++ b/zinctrail/fleet/wrapped_process.py
@@ -1,10 +1,10 @@
-"""One product program under the fleet's fault injection: links that are cut, a wall clock that jumps.
+"""Runs one product program with fault injection: cut links to peers, and a shifted wall clock.
 
   python -m zinctrail.fleet.wrapped_process FILE PROGRAM FLAGS...
 
-FILE holds {"cut": [IP:PORT of peers], "wall_s": N}, and may change at any
-time. Frames to and from a peer that is cut are lost silently, as in a network;
-the wall clock of this process is off by N seconds.
+FILE contains {"cut": [IP:PORT of peers], "wall_s": N}, and may change at any
+time. Frames to and from a peer that is cut off are dropped silently, as in a
+network partition; the wall clock of this process is off by N seconds.
 """
 
 import importlib
@@ -15,7 +15,7 @@
 
 
 class Faults(typing.TypedDict):
-    """The faults that the file names."""
+    """The faults that are read from the file."""
 
     # IP:PORT of the peers that are cut off.
     cut: list[str]
@@ -26,12 +26,12 @@
 FAULTS: Faults = {'cut': [], 'wall_s': 0.0}
 RELOAD_INTERVAL_S = 0.05
 _wall_clock = time.time
-# Replaced before anything else is imported, because twisted keeps the function that it finds.
+# Replaced before anything else is imported, because Twisted stores a reference to time.time at import.
 time.time = lambda: _wall_clock() + FAULTS['wall_s']
 
 
 def watch(name: str, reactor: typing.Any) -> None:
-    """Read the faults from a file again and again."""
+    """Read the faults from a file every `RELOAD_INTERVAL_S`."""
     import twisted.internet.task as task
 
     def reload() -> None:
@@ -39,7 +39,7 @@
             with open(name) as file:
                 FAULTS.update(json.load(file))
         except (OSError, ValueError):
-            # The file is just being written; the next read finds it complete.
+            # The file may be missing or incomplete for a moment; the next read succeeds.
             pass
 
     loop = task.LoopingCall(reload)
@@ -47,8 +47,8 @@
     loop.start(RELOAD_INTERVAL_S)
 
 
-def install_cuts() -> None:
-    """Make the connections between processes drop frames to and from the peers that are cut."""
+def install_network_cuts() -> None:
+    """Make the connections between processes drop frames to and from the peers that are cut off."""
     import zinctrail.transport.peer_connections as peer_connections
 
     connections: typing.Any = peer_connections.PeerConnections
@@ -68,12 +68,12 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run a program of ours with the faults installed."""
+    """Run one of our programs with fault injection installed."""
     import twisted.internet.reactor as reactor
 
     import zinctrail.transport.clock as clock
 
-    install_cuts()
+    install_network_cuts()
     name, program = argv[1:3]
     sys.argv = [program] + argv[3:]
     watch(name, clock.use_steady_clock(reactor))
